--- a/tests/platform/support/entry_world.cpp
+++ b/tests/platform/support/entry_world.cpp
@@ -1,4 +1,4 @@
-// Settings, rules and processes of the world.
+// Settings, rules and processes of entry_world.
 #include "platform/support/entry_world.hpp"
 
 #include "platform/support/raw_caller.hpp"
@@ -17,7 +17,7 @@
 namespace
 {
 
-std::string at(int port)
+std::string loopback_address(int port)
 {
     return "127.0.0.1:" + std::to_string(port);
 }
@@ -41,16 +41,16 @@
 
 entry_world::entry_world(world_options options) : options_(std::move(options))
 {
-    folder_ = std::filesystem::temp_directory_path() /
-              ("marigoldcrank-" + std::to_string(::getpid()) + "-" +
-               std::to_string(reinterpret_cast<std::uintptr_t>(this)));
-    std::filesystem::create_directories(folder_);
+    directory_ = std::filesystem::temp_directory_path() /
+                 ("marigoldcrank-" + std::to_string(::getpid()) + "-" +
+                  std::to_string(reinterpret_cast<std::uintptr_t>(this)));
+    std::filesystem::create_directories(directory_);
     store_port_ = ports_.next();
     duty_port_ = ports_.next();
     store_ = std::make_unique<store_standin>(store_port_);
-    duties_ = std::make_unique<wire_server>(
+    duty_server_ = std::make_unique<wire_server>(
         duty_port_, [this](wire_request const& request, wire_connection& connection)
-        { return record_duty(request, connection); });
+        { return record_duty_request(request, connection); });
     for (int index = 0; index < options_.servers; ++index)
     {
         servers_.push_back(std::make_unique<server_standin>(
@@ -67,10 +67,10 @@
     configure(1, {"key-north"});
     for (int index = 0; index < options_.daemons; ++index)
     {
-        callers_.push_back(ports_.next());
-        readiness_.push_back(ports_.next());
-        peers_.push_back(ports_.next());
-        records_.push_back(ports_.next());
+        caller_ports_.push_back(ports_.next());
+        readiness_ports_.push_back(ports_.next());
+        peer_ports_.push_back(ports_.next());
+        record_ports_.push_back(ports_.next());
         daemons_.emplace_back();
         store_ports_.push_back(options_.relayed ? ports_.next() : store_port_);
         if (options_.relayed)
@@ -84,7 +84,8 @@
     {
         if (!eventually([&] { return ready(index); }))
         {
-            throw std::runtime_error("daemon does not get ready: " + output(index));
+            throw std::runtime_error("daemon did not become ready; its output: " +
+                                     output(index));
         }
     }
 }
@@ -92,7 +93,7 @@
 entry_world::~entry_world()
 {
     daemons_.clear();
-    std::filesystem::remove_all(folder_);
+    std::filesystem::remove_all(directory_);
 }
 
 void entry_world::configure(std::uint64_t                   version,
@@ -141,22 +142,24 @@
 
 void entry_world::list_server(server_standin const& server, std::string const& state)
 {
-    nlohmann::json const entry{{"service", "desk"}, {"address", at(address_of(server))},
-                               {"zone", "here"},    {"slots", 6},
-                               {"state", state},    {"sequence", 1}};
+    nlohmann::json const entry{
+        {"service", "desk"}, {"address", loopback_address(port_of(server))},
+        {"zone", "here"},    {"slots", 6},
+        {"state", state},    {"sequence", 1}};
     store_->put("keyed.servers", server.id(), entry.dump());
 }
 
 void entry_world::list_engine(server_standin const& server, std::string const& stage)
 {
-    nlohmann::json const entry{{"service", "models"}, {"address", at(server.port())},
-                               {"zone", "here"},      {"slots", 8},
-                               {"state", "ready"},    {"stage", stage},
-                               {"sequence", 1}};
+    nlohmann::json const entry{
+        {"service", "models"}, {"address", loopback_address(server.port())},
+        {"zone", "here"},      {"slots", 8},
+        {"state", "ready"},    {"stage", stage},
+        {"sequence", 1}};
     store_->put("keyed.servers", server.id(), entry.dump());
 }
 
-int entry_world::address_of(server_standin const& server) const
+int entry_world::port_of(server_standin const& server) const
 {
     auto const relayed = server_ports_.find(server.id());
     return relayed == server_ports_.end() ? server.port() : relayed->second;
@@ -189,32 +192,34 @@
 
 int entry_world::callers_port(int index) const
 {
-    return callers_.at(static_cast<std::size_t>(index));
+    return caller_ports_.at(static_cast<std::size_t>(index));
 }
 
 int entry_world::readiness_port(int index) const
 {
-    return readiness_.at(static_cast<std::size_t>(index));
+    return readiness_ports_.at(static_cast<std::size_t>(index));
 }
 
 void entry_world::start(int index)
 {
     auto const    slot = static_cast<std::size_t>(index);
-    auto const    file = folder_ + "/entry-" + std::to_string(index) + ".ini";
+    auto const    file = directory_ + "/entry-" + std::to_string(index) + ".ini";
     std::ofstream settings(file);
-    settings << "[node]\nname = vm-" << index
-             << "\ndata_centre = here\ncallers = " << at(callers_[slot])
-             << "\nreadiness = " << at(readiness_[slot])
-             << "\npeers = " << at(peers_[slot]) << "\nrecords = " << at(records_[slot])
+    settings << "[node]\nname = vm-" << index << "\ndata_centre = here\ncallers = "
+             << loopback_address(caller_ports_[slot])
+             << "\nreadiness = " << loopback_address(readiness_ports_[slot])
+             << "\npeers = " << loopback_address(peer_ports_[slot])
+             << "\nrecords = " << loopback_address(record_ports_[slot])
              << "\nmesh = " << options_.mesh
-             << "\n[platform]\nstore = " << at(store_ports_[slot])
-             << "\nduties = " << at(duty_port_) << "\n[logs]\nsample = 1\n[bounds]\n"
+             << "\n[platform]\nstore = " << loopback_address(store_ports_[slot])
+             << "\nduties = " << loopback_address(duty_port_)
+             << "\n[logs]\nsample = 1\n[bounds]\n"
              << options_.bounds;
     settings.close();
     daemons_[slot] = std::make_unique<child_process>(
         std::vector<std::string>{MARIGOLDCRANK_BINARIES "/marigoldcrankd", "--entry",
                                  file},
-        folder_ + "/output-" + std::to_string(index));
+        directory_ + "/output-" + std::to_string(index));
 }
 
 void entry_world::restart(int index)
@@ -225,7 +230,7 @@
 
 std::string entry_world::output(int index) const
 {
-    std::ifstream      file(folder_ + "/output-" + std::to_string(index));
+    std::ifstream      file(directory_ + "/output-" + std::to_string(index));
     std::ostringstream text;
     text << file.rdbuf();
     return text.str();
@@ -241,16 +246,17 @@
 std::vector<duty_call> entry_world::duty_calls() const
 {
     std::lock_guard lock{mutex_};
-    return duty_calls_;
+    return duty_requests_;
 }
 
-bool entry_world::record_duty(wire_request const& request, wire_connection& connection)
+bool entry_world::record_duty_request(wire_request const& request,
+                                      wire_connection&    connection)
 {
     {
         std::lock_guard lock{mutex_};
-        duty_calls_.push_back({request.path(), request.field("duty-holder"),
-                               std::stoull(request.field("fencing-token")),
-                               nlohmann::json::parse(request.body)});
+        duty_requests_.push_back({request.path(), request.field("duty-holder"),
+                                  std::stoull(request.field("fencing-token")),
+                                  nlohmann::json::parse(request.body)});
     }
     connection.send(wire_answer(200, "", ""));
     return true;
--- a/tests/platform/support/entry_world.hpp
+++ b/tests/platform/support/entry_world.hpp
@@ -1,4 +1,5 @@
-// Real daemons before stand-ins of the platform: what a failure test starts.
+// Test fixture that runs entry daemons against stand-ins of the store, the backend
+// servers and the platform's duty service.
 //
 // Index: 1 duty_call, 2 world_options, 3 one_server, 4 entry_world
 #ifndef MARIGOLDCRANK_TESTS_PLATFORM_ENTRY_WORLD_HPP
@@ -17,7 +18,7 @@
 namespace marigoldcrank::tests
 {
 
-/// A call that the platform got from a holder of duties.
+/// A request that the platform received from the VM that holds a duty.
 struct duty_call
 {
     std::string    path;
@@ -30,42 +31,47 @@
 {
     int         daemons = 1;
     int         servers = 2;     // of the service "desk"
-    std::string bounds;          // further lines of the settings' section
-    int         mesh = 16;       // VMs; above it, relays pass on what they hear
-    bool        relayed = false; // connections to store and servers go through relays
-    std::string route_fields;    // further JSON fields of all routes, after a comma
+    std::string bounds;          // further lines of the settings' [bounds] section
+    int         mesh = 16;       // VMs; larger fleets pass updates on through relays
+    bool        relayed = false; // connections to the store and servers pass TCP relays
+    std::string route_fields;    // a JSON object: further fields of all routes
     std::string north_fields;    // a JSON object: further fields of workspace north
 };
 
-/// A service with one server, so that it is certain which one a call reaches.
+/// Options for one server, for tests that must know which server a call reaches.
 inline world_options one_server()
 {
     return {.servers = 1};
 }
 
-/// Routes: /repeat/ may run more than once, /once/ at most once, /stream/ not resumable,
-/// /resume/ resumable, /open/ needs no key; all on host `shop.example`, workspace `north`
-/// with key `key-north`, workspace `south` with key `key-south`.
+/// Starts the daemons and stand-ins, and waits until each daemon is ready, unless
+/// there are no servers.
+///
+/// Routes on host `shop.example`: /repeat/ is idempotent, /once/ runs at most once,
+/// /stream/ streams without resumption, /resume/ streams with it, /open/ is idempotent
+/// and needs no key, /model/ streams from the service "models". Workspace `north` has key
+/// `key-north`, workspace `south` has key `key-south`.
 class entry_world
 {
 public:
     explicit entry_world(world_options options = {});
     ~entry_world();
 
-    /// Puts a configuration in force: these keys of workspace north.
+    /// Writes a configuration with these keys of workspace north to the store.
     void configure(std::uint64_t version, std::vector<std::string> const& north_keys);
 
-    /// The same, with other fields of workspace north from now on.
+    /// Writes a configuration with these further fields of workspace north, which later
+    /// configurations keep.
     void configure_north(std::uint64_t version, std::string const& fields);
 
-    /// Writes the entry of a server anew.
+    /// Writes a server's entry in the list of servers to the store.
     void list_server(server_standin const& server, std::string const& state = "ready");
 
-    /// Lists a server as a model engine of the service "models", route /model/.
+    /// Lists a server as an engine of the service "models", which route /model/ uses.
     void list_engine(server_standin const& server, std::string const& stage);
 
-    /// Between daemon `index` and the store, or all daemons and a server; only with
-    /// `relayed`.
+    /// The relays between daemon `index` and the store, and between all daemons and
+    /// server `index`; only with `relayed`.
     tcp_relay& store_relay(int index);
     tcp_relay& server_relay(int index);
 
@@ -75,39 +81,39 @@
     int             callers_port(int index = 0) const;
     int             readiness_port(int index = 0) const;
 
-    /// Starts daemon `index` again, as a new process.
+    /// Ends the process of daemon `index` and starts a new one.
     void restart(int index);
 
-    /// What it has written to standard output.
+    /// What daemon `index` has written to standard output so far.
     std::string output(int index = 0) const;
 
     bool                   ready(int index = 0) const;
     std::vector<duty_call> duty_calls() const;
 
 private:
-    int  address_of(server_standin const& server) const;
-    bool record_duty(wire_request const& request, wire_connection& connection);
+    int  port_of(server_standin const& server) const;
+    bool record_duty_request(wire_request const& request, wire_connection& connection);
     void start(int index);
 
     world_options                                options_;
     port_block                                   ports_;
-    std::string                                  folder_;
+    std::string                                  directory_;
     std::unique_ptr<store_standin>               store_;
     std::vector<std::unique_ptr<server_standin>> servers_;
     std::vector<std::unique_ptr<tcp_relay>>      store_relays_;  // by daemon
     std::vector<std::unique_ptr<tcp_relay>>      server_relays_; // by server
     std::vector<int>                             store_ports_;   // by daemon
-    std::map<std::string, int>                   server_ports_;  // listed, by id
-    std::unique_ptr<wire_server>                 duties_;
-    int                                          store_port_ = 0;
-    int                                          duty_port_ = 0;
-    std::vector<int>                             callers_;
-    std::vector<int>                             readiness_;
-    std::vector<int>                             peers_;
-    std::vector<int>                             records_;
-    std::vector<std::unique_ptr<child_process>>  daemons_;
-    mutable std::mutex                           mutex_;
-    std::vector<duty_call>                       duty_calls_;
+    std::map<std::string, int>   server_ports_; // of its relay, by server id
+    std::unique_ptr<wire_server> duty_server_;
+    int                          store_port_ = 0;
+    int                          duty_port_ = 0;
+    std::vector<int>             caller_ports_;
+    std::vector<int>             readiness_ports_;
+    std::vector<int>             peer_ports_;
+    std::vector<int>             record_ports_;
+    std::vector<std::unique_ptr<child_process>> daemons_;
+    mutable std::mutex                          mutex_;
+    std::vector<duty_call>                      duty_requests_;
 };
 
 } // namespace marigoldcrank::tests
--- a/tests/platform/support/raw_caller.cpp
+++ b/tests/platform/support/raw_caller.cpp
@@ -1,4 +1,4 @@
-// Sockets and the reading of answers.
+// Sockets and HTTP response parsing.
 #include "platform/support/raw_caller.hpp"
 
 #include <arpa/inet.h>
@@ -12,9 +12,9 @@
 namespace marigoldcrank::tests
 {
 
-bool signed_by_server(raw_answer const& answer)
+bool signed_by_server(raw_answer const& response)
 {
-    return answer.fields.count("instance-signature") > 0;
+    return response.fields.count("instance-signature") > 0;
 }
 
 raw_caller::raw_caller(int port)
@@ -52,7 +52,7 @@
     }
 }
 
-bool raw_caller::more(int timeout_ms)
+bool raw_caller::receive_some(int timeout_ms)
 {
     pollfd state{socket_, POLLIN, 0};
     if (socket_ < 0 || ::poll(&state, 1, timeout_ms) != 1)
@@ -70,69 +70,69 @@
 
 raw_answer raw_caller::read(int timeout_ms)
 {
-    raw_answer answer;
+    raw_answer response;
     while (buffer_.find("\r\n\r\n") == std::string::npos)
     {
-        if (!more(timeout_ms))
+        if (!receive_some(timeout_ms))
         {
-            return answer;
+            return response;
         }
     }
     auto const head_end = buffer_.find("\r\n\r\n") + 4;
     auto const head = buffer_.substr(0, head_end);
     buffer_.erase(0, head_end);
-    answer.status = std::stoi(head.substr(9, 3));
+    response.status = std::stoi(head.substr(9, 3));
     for (auto at = head.find("\r\n") + 2; at + 2 < head.size();)
     {
         auto const end = head.find("\r\n", at);
         auto const colon = head.find(": ", at);
         auto       name = head.substr(at, colon - at);
         std::transform(name.begin(), name.end(), name.begin(), ::tolower);
-        answer.fields[name] = head.substr(colon + 2, end - colon - 2);
+        response.fields[name] = head.substr(colon + 2, end - colon - 2);
         at = end + 2;
     }
-    if (answer.fields["transfer-encoding"] == "chunked")
+    if (response.fields["transfer-encoding"] == "chunked")
     {
         while (true)
         {
             while (buffer_.find("\r\n") == std::string::npos)
             {
-                if (!more(timeout_ms))
+                if (!receive_some(timeout_ms))
                 {
-                    return answer;
+                    return response;
                 }
             }
             auto const line = buffer_.find("\r\n");
             auto const length = std::stoul(buffer_.substr(0, line), nullptr, 16);
             while (buffer_.size() < line + 2 + length + 2)
             {
-                if (!more(timeout_ms))
+                if (!receive_some(timeout_ms))
                 {
-                    return answer;
+                    return response;
                 }
             }
-            answer.body += buffer_.substr(line + 2, length);
+            response.body += buffer_.substr(line + 2, length);
             buffer_.erase(0, line + 2 + length + 2);
             if (length == 0)
             {
-                answer.whole = true;
-                return answer;
+                response.whole = true;
+                return response;
             }
         }
     }
-    auto const length = std::stoul("0" + answer.fields["content-length"]);
-    while (buffer_.size() < length && more(timeout_ms))
+    auto const length = std::stoul("0" + response.fields["content-length"]);
+    while (buffer_.size() < length && receive_some(timeout_ms))
     {
     }
-    answer.whole = buffer_.size() >= length;
-    answer.body = buffer_.substr(0, length);
+    response.whole = buffer_.size() >= length;
+    response.body = buffer_.substr(0, length);
     buffer_.erase(0, length);
-    return answer;
+    return response;
 }
 
 std::string raw_caller::read_until(std::string const& text, int timeout_ms)
 {
-    while (buffer_.find(text) == std::string::npos && more(timeout_ms))
+    while (buffer_.find(text) == std::string::npos && receive_some(timeout_ms))
     {
     }
     return buffer_;
@@ -141,7 +141,7 @@
 bool raw_caller::closed(int timeout_ms)
 {
     auto const before = buffer_.size();
-    while (more(timeout_ms))
+    while (receive_some(timeout_ms))
     {
     }
     return buffer_.size() == before;
--- a/tests/platform/support/raw_caller.hpp
+++ b/tests/platform/support/raw_caller.hpp
@@ -1,6 +1,7 @@
-// A caller that sends raw bytes and says exactly what came back.
+// Test HTTP client that sends raw bytes and reports exactly what it receives.
 //
-// Index: 1 raw_answer, 2 signed_by_server, 3 raw_caller, 4 make_request
+// Index: 1 raw_answer, 2 signed_by_server, 3 raw_caller, 4 request_options,
+// 5 make_request, 6 ask
 #ifndef MARIGOLDCRANK_TESTS_PLATFORM_RAW_CALLER_HPP
 #define MARIGOLDCRANK_TESTS_PLATFORM_RAW_CALLER_HPP
 
@@ -12,15 +13,16 @@
 
 struct raw_answer
 {
-    int  status = 0;                           // 0: no answer
-    bool whole = false;                        // its framing says that it has ended well
-    std::map<std::string, std::string> fields; // names in lower case
+    int  status = 0;                           // 0: no response
+    bool whole = false;                        // false: it ended before its framing says
+    std::map<std::string, std::string> fields; // header fields; names in lower case
     std::string                        body;   // without chunk framing
 };
 
-/// Whether an answer bears the signature of a server.
-bool signed_by_server(raw_answer const& answer);
+/// True if a response carries a server's signature field.
+bool signed_by_server(raw_answer const& response);
 
+/// One connection to a port on the loopback address.
 class raw_caller
 {
 public:
@@ -31,19 +33,21 @@
 
     void send(std::string const& bytes);
 
-    /// The next answer; `timeout_ms` only bounds a failure.
+    /// Reads the next response. `timeout_ms` bounds each wait for more bytes; if it
+    /// passes, the response is returned as far as it was read.
     raw_answer read(int timeout_ms = 15000);
 
-    /// Reads until the body holds so much, without waiting for its end.
+    /// Reads until the unread bytes contain `text`, and returns them without consuming
+    /// them.
     std::string read_until(std::string const& text, int timeout_ms = 15000);
 
-    /// True if the other side closes before it sends anything more.
+    /// True if the connection ends or `timeout_ms` passes before further bytes arrive.
     bool closed(int timeout_ms = 15000);
 
     void close();
 
 private:
-    bool more(int timeout_ms);
+    bool receive_some(int timeout_ms);
 
     int         socket_ = -1;
     std::string buffer_;
@@ -55,14 +59,15 @@
     std::string path = "/repeat/x";
     std::string id = "call-1";
     std::string key = "key-north";
-    std::string fields; // further lines, each with its line end
+    std::string fields; // further header lines, each with its line end
     std::string body = "hello";
     int         deadline_ms = 5000;
 };
 
+/// The bytes of an HTTP/1.1 request to host `shop.example`.
 std::string make_request(request_options const& options);
 
-/// One request on a connection of its own.
+/// Sends one request on a new connection and returns its response.
 raw_answer ask(int port, request_options const& options);
 
 } // namespace marigoldcrank::tests
--- a/tests/platform/support/server_standin.cpp
+++ b/tests/platform/support/server_standin.cpp
@@ -1,4 +1,4 @@
-// Default behaviour and recording.
+// Responses of the stand-in and its record of requests.
 #include "platform/support/server_standin.hpp"
 
 #include <cstdio>
@@ -13,16 +13,16 @@
 {
 }
 
-void server_standin::next(behaviour handle)
+void server_standin::next(behaviour respond)
 {
     std::lock_guard lock{mutex_};
-    next_.push_back(std::move(handle));
+    next_behaviours_.push_back(std::move(respond));
 }
 
-void server_standin::always(behaviour handle)
+void server_standin::always(behaviour respond)
 {
     std::lock_guard lock{mutex_};
-    always_ = std::move(handle);
+    default_behaviour_ = std::move(respond);
 }
 
 std::vector<wire_request> server_standin::arrivals() const
@@ -84,18 +84,18 @@
 
 bool server_standin::handle(wire_request const& request, wire_connection& connection)
 {
-    behaviour act;
+    behaviour respond;
     {
         std::lock_guard lock{mutex_};
         arrivals_.push_back(request);
-        if (!next_.empty())
+        if (!next_behaviours_.empty())
         {
-            act = std::move(next_.front());
-            next_.pop_front();
+            respond = std::move(next_behaviours_.front());
+            next_behaviours_.pop_front();
         }
         else
         {
-            act = always_;
+            respond = default_behaviour_;
         }
     }
     auto const expected = request.field("expect-instance");
@@ -104,9 +104,9 @@
         connection.send(wire_answer(421, "Instance-Id: " + id_ + "\r\n", ""));
         return true;
     }
-    if (act)
+    if (respond)
     {
-        return act(request, connection);
+        return respond(request, connection);
     }
     connection.send(served(request, "served by " + id_));
     return true;
--- a/tests/platform/support/server_standin.hpp
+++ b/tests/platform/support/server_standin.hpp
@@ -1,7 +1,7 @@
-// A stand-in of a backend server: answers as the test says, and records what has reached
-// it.
+// Stand-in of a backend server: it responds as the test specifies and records the
+// requests that it receives.
 //
-// Index: 1 arrival, 2 server_standin, 3 answers
+// Index: 1 server_standin
 #ifndef MARIGOLDCRANK_TESTS_PLATFORM_SERVER_STANDIN_HPP
 #define MARIGOLDCRANK_TESTS_PLATFORM_SERVER_STANDIN_HPP
 
@@ -12,36 +12,37 @@
 namespace marigoldcrank::tests
 {
 
+/// Refuses with 421 a request that names another incarnation than its own.
 class server_standin
 {
 public:
     using behaviour = wire_server::handler;
 
-    /// `id` is the incarnation that requests must name.
+    /// `id` is the incarnation that the field Expect-Instance of a request must name.
     server_standin(int port, std::string id);
 
-    /// The next request is handled so; without any it is served well.
-    void next(behaviour handle);
+    /// Queues a behaviour for one request. Without any, a request gets a signed 200.
+    void next(behaviour respond);
 
-    /// From now on all requests are handled so.
-    void always(behaviour handle);
+    /// Sets the behaviour for all requests for which none is queued.
+    void always(behaviour respond);
 
     std::vector<wire_request> arrivals() const;
     std::string const&        id() const;
     int                       port() const;
     std::size_t               connections() const;
 
-    /// A signed answer with the request's id.
+    /// A signed response with the request's id.
     static std::string served(wire_request const& request, std::string const& body,
                               int status = 200);
 
-    /// A server's word that it hasn't run the request.
+    /// A 503 response that says the request hasn't run.
     static std::string turned_away(wire_request const& request);
 
-    /// The head of a signed event stream in chunks.
+    /// The head of a signed event stream in chunked transfer coding.
     static std::string stream_head(wire_request const& request);
 
-    /// One chunk.
+    /// One chunk of the chunked transfer coding.
     static std::string chunk(std::string const& bytes);
 
     /// Event `number` of a stream.
@@ -54,9 +55,9 @@
     int                       port_;
     mutable std::mutex        mutex_;
     std::vector<wire_request> arrivals_;
-    std::deque<behaviour>     next_;
-    behaviour                 always_;
-    wire_server               server_; // last: its threads use what stands above
+    std::deque<behaviour>     next_behaviours_;
+    behaviour                 default_behaviour_;
+    wire_server               server_; // last: its threads use the members above
 };
 
 } // namespace marigoldcrank::tests
--- a/tests/platform/support/store_standin.cpp
+++ b/tests/platform/support/store_standin.cpp
@@ -1,4 +1,4 @@
-// Calls of the store, as its page says them.
+// The store's HTTP interface: append to, read and list the newest values of a topic.
 #include "platform/support/store_standin.hpp"
 
 #include "platform/log_codec.hpp"
@@ -16,7 +16,7 @@
 
 constexpr int         ok = 200;
 constexpr int         gone = 410;
-constexpr int         precondition = 412;
+constexpr int         precondition_failed = 412;
 constexpr int         unavailable = 503;
 constexpr std::size_t length_bytes = 4;
 
@@ -41,7 +41,7 @@
     return out;
 }
 
-std::vector<std::string> unframe(std::string const& body)
+std::vector<std::string> split_records(std::string const& body)
 {
     std::vector<std::string> records;
     for (std::size_t at = 0; at + length_bytes <= body.size();)
@@ -57,12 +57,12 @@
     return records;
 }
 
-std::string keyed(std::string const& key, std::string const& value)
+std::string encode_keyed(std::string const& key, std::string const& value)
 {
     return std::string(1, static_cast<char>(key.size())) + key + value;
 }
 
-std::string json_answer(int status, nlohmann::json const& body)
+std::string json_response(int status, nlohmann::json const& body)
 {
     return wire_answer(status, "Content-Type: application/json\r\n", body.dump());
 }
@@ -87,12 +87,12 @@
 void store_standin::trouble(store_trouble kind)
 {
     std::lock_guard lock{mutex_};
-    trouble_ = kind;
+    fault_ = kind;
     if (kind == store_trouble::forgetting)
     {
         for (auto& [name, topic] : topics_)
         {
-            topic.first = topic.records.size();
+            topic.first_offset = topic.records.size();
         }
     }
 }
@@ -102,7 +102,7 @@
 {
     {
         std::lock_guard lock{mutex_};
-        topics_[topic].records.push_back(keyed(key, value));
+        topics_[topic].records.push_back(encode_keyed(key, value));
     }
     appended_.notify_all();
 }
@@ -128,10 +128,10 @@
     return found == topics_.end() ? std::vector<std::string>{} : found->second.records;
 }
 
-std::size_t store_standin::calls() const
+std::size_t store_standin::request_count() const
 {
     std::lock_guard lock{mutex_};
-    return calls_;
+    return request_count_;
 }
 
 bool store_standin::handle(wire_request const& request, wire_connection& connection)
@@ -139,8 +139,8 @@
     auto kind = store_trouble::none;
     {
         std::lock_guard lock{mutex_};
-        ++calls_;
-        kind = trouble_;
+        ++request_count_;
+        kind = fault_;
     }
     if (kind == store_trouble::silent)
     {
@@ -157,18 +157,18 @@
     }
     if (kind == store_trouble::refusing)
     {
-        connection.send(json_answer(unavailable, {{"error", "down"}}));
+        connection.send(json_response(unavailable, {{"error", "down"}}));
         return true;
     }
     auto const path = request.path();
-    auto const answer = path == "/api/log-append" ? append(request)
-                        : path == "/api/log-read" ? read(request)
-                                                  : newest(request);
+    auto const response = path == "/api/log-append" ? append(request)
+                          : path == "/api/log-read" ? read(request)
+                                                    : newest_by_key(request);
     if (kind == store_trouble::losing && path == "/api/log-append")
     {
         return false;
     }
-    connection.send(answer);
+    connection.send(response);
     return true;
 }
 
@@ -182,16 +182,16 @@
         end = topic.records.size();
         if (!at.empty() && std::stoull(at) != end)
         {
-            return json_answer(precondition, {{"end_offset", end}});
+            return json_response(precondition_failed, {{"end_offset", end}});
         }
-        for (auto& record : unframe(request.body))
+        for (auto& record : split_records(request.body))
         {
             topic.records.push_back(std::move(record));
         }
         auto const first = end;
         end = topic.records.size();
         appended_.notify_all();
-        return json_answer(ok, {{"offset", first}, {"end_offset", end}});
+        return json_response(ok, {{"offset", first}, {"end_offset", end}});
     }
 }
 
@@ -201,9 +201,9 @@
     auto&            topic = topics_[request.query("topic")];
     auto const       from = std::stoull(request.query("source"));
     auto const       wait = request.query("wait_ms");
-    if (from < topic.first)
+    if (from < topic.first_offset)
     {
-        return json_answer(gone, {{"first_offset", topic.first}});
+        return json_response(gone, {{"first_offset", topic.first_offset}});
     }
     if (!wait.empty())
     {
@@ -216,11 +216,11 @@
         records.push_back(topic.records[at]);
     }
     return wire_answer(ok, "",
-                       big_endian(topic.records.size()) + big_endian(topic.first) +
+                       big_endian(topic.records.size()) + big_endian(topic.first_offset) +
                            platform::frame_records(records));
 }
 
-std::string store_standin::newest(wire_request const& request)
+std::string store_standin::newest_by_key(wire_request const& request)
 {
     std::lock_guard lock{mutex_};
     auto&           topic = topics_[request.query("topic")];
@@ -243,7 +243,7 @@
         items.push_back(
             {{"key", key}, {"value", base64(value.first)}, {"offset", value.second}});
     }
-    return json_answer(
+    return json_response(
         ok,
         {{"items", items}, {"has_more", false}, {"end_offset", topic.records.size()}});
 }
--- a/tests/platform/support/store_standin.hpp
+++ b/tests/platform/support/store_standin.hpp
@@ -1,6 +1,7 @@
-// A stand-in of the platform's store: an append-only log with keyed topics and faults.
+// Stand-in of the platform's store: an append-only log with keyed topics and injected
+// faults.
 //
-// Index: 1 store_fault_kind, 2 store_standin
+// Index: 1 store_trouble, 2 store_standin
 #ifndef MARIGOLDCRANK_TESTS_PLATFORM_STORE_STANDIN_HPP
 #define MARIGOLDCRANK_TESTS_PLATFORM_STORE_STANDIN_HPP
 
@@ -13,52 +14,54 @@
 namespace marigoldcrank::tests
 {
 
-/// What goes wrong with calls.
+/// The fault that requests to the store meet.
 enum class store_trouble
 {
     none,
-    silent,    // no answer, nothing done
-    refusing,  // 503, nothing done
-    losing,    // appends are done and not answered
-    forgetting // reads of the past get 410
+    silent,    // no response, nothing is appended
+    refusing,  // response 503, nothing is appended
+    losing,    // appends take effect, but their responses are lost
+    forgetting // records so far are discarded; reads of them get 410
 };
 
+/// Keeps all topics in memory.
 class store_standin
 {
 public:
     explicit store_standin(int port);
 
+    /// Sets the fault of all requests from now on.
     void trouble(store_trouble kind);
 
-    /// What operators and servers write.
+    /// Appends a new value of a key, or its removal, to a keyed topic.
     void put(std::string const& topic, std::string const& key, std::string const& value);
     void drop(std::string const& topic, std::string const& key);
 
-    /// A record that some VM has appended.
+    /// Appends a record as a VM would.
     void append(std::string const& topic, std::string const& record);
 
     std::vector<std::string> records(std::string const& topic) const;
-    std::size_t              calls() const;
+    std::size_t              request_count() const;
 
 private:
     struct topic_log
     {
         std::vector<std::string> records;
-        std::uint64_t            first = 0;
+        std::uint64_t            first_offset = 0;
     };
 
     bool        handle(wire_request const& request, wire_connection& connection);
     std::string append(wire_request const& request);
     std::string read(wire_request const& request);
-    std::string newest(wire_request const& request);
+    std::string newest_by_key(wire_request const& request);
 
     mutable std::mutex               mutex_;
     std::condition_variable          appended_;
     std::map<std::string, topic_log> topics_;
-    store_trouble                    trouble_ = store_trouble::none;
-    std::size_t                      calls_ = 0;
+    store_trouble                    fault_ = store_trouble::none;
+    std::size_t                      request_count_ = 0;
     bool                             stopping_ = false;
-    wire_server                      server_; // last: its threads use what stands above
+    wire_server                      server_; // last: its threads use the members above
 
 public:
     ~store_standin();
--- a/tests/platform/support/wire_server.cpp
+++ b/tests/platform/support/wire_server.cpp
@@ -1,4 +1,4 @@
-// Sockets and the reading of requests.
+// Sockets and HTTP request parsing.
 #include "platform/support/wire_server.hpp"
 
 #include <arpa/inet.h>
@@ -60,8 +60,9 @@
 
 std::string wire_request::query(std::string const& name) const
 {
-    auto const mark = target.find('?');
-    auto       rest = mark == std::string::npos ? "" : "&" + target.substr(mark + 1);
+    auto const query_begin = target.find('?');
+    auto       rest =
+        query_begin == std::string::npos ? "" : "&" + target.substr(query_begin + 1);
     auto const at = rest.find("&" + name + "=");
     if (at == std::string::npos)
     {
@@ -73,8 +74,8 @@
 
 wire_connection::wire_connection(int socket) : socket_(socket)
 {
-    int const yes = 1;
-    ::setsockopt(socket_, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
+    int const enabled = 1;
+    ::setsockopt(socket_, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
 wire_connection::~wire_connection()
@@ -87,7 +88,7 @@
 
 bool wire_connection::read(wire_request& request)
 {
-    auto more = [&]
+    auto receive_some = [&]
     {
         char       piece[8192];
         auto const count = ::recv(socket_, piece, sizeof piece, 0);
@@ -99,7 +100,7 @@
     };
     while (buffer_.find("\r\n\r\n") == std::string::npos)
     {
-        if (!more())
+        if (!receive_some())
         {
             return false;
         }
@@ -108,16 +109,16 @@
     request.head = buffer_.substr(0, end);
     parse_head(request);
     auto const length = request.field("content-length");
-    auto const whole = end + (length.empty() ? 0 : std::stoul(length));
-    while (buffer_.size() < whole)
+    auto const total = end + (length.empty() ? 0 : std::stoul(length));
+    while (buffer_.size() < total)
     {
-        if (!more())
+        if (!receive_some())
         {
             return false;
         }
     }
-    request.body = buffer_.substr(end, whole - end);
-    buffer_.erase(0, whole);
+    request.body = buffer_.substr(end, total - end);
+    buffer_.erase(0, total);
     return true;
 }
 
@@ -138,9 +139,9 @@
 
 void wire_connection::reset()
 {
-    linger const now{1, 0};
-    ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-    ::close(socket_.exchange(-1)); // a shutdown would end it in order
+    linger const abort_on_close{1, 0};
+    ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &abort_on_close, sizeof abort_on_close);
+    ::close(socket_.exchange(-1)); // shutdown() would close it without a reset
 }
 
 void wire_connection::close()
@@ -158,8 +159,8 @@
 wire_server::wire_server(int port, handler handle) : handle_(std::move(handle))
 {
     socket_ = ::socket(AF_INET, SOCK_STREAM, 0);
-    int const yes = 1;
-    ::setsockopt(socket_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
+    int const enabled = 1;
+    ::setsockopt(socket_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -167,7 +168,7 @@
     if (::bind(socket_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 ||
         ::listen(socket_, 256) != 0)
     {
-        throw std::runtime_error("port is taken");
+        throw std::runtime_error("wire_server cannot bind to its port or listen on it");
     }
     acceptor_ = std::thread([this] { accept_all(); });
 }
@@ -180,7 +181,7 @@
     ::close(socket_);
     {
         std::lock_guard lock{mutex_};
-        for (auto const& connection : open_)
+        for (auto const& connection : connections_)
         {
             connection->close();
         }
@@ -194,7 +195,7 @@
 std::size_t wire_server::connections() const
 {
     std::lock_guard lock{mutex_};
-    return open_.size();
+    return connections_.size();
 }
 
 void wire_server::accept_all()
@@ -208,7 +209,7 @@
         }
         auto const      connection = std::make_shared<wire_connection>(socket);
         std::lock_guard lock{mutex_};
-        open_.push_back(connection);
+        connections_.push_back(connection);
         threads_.emplace_back([this, connection] { serve(connection); });
     }
 }
--- a/tests/platform/support/wire_server.hpp
+++ b/tests/platform/support/wire_server.hpp
@@ -1,6 +1,6 @@
-// A server of raw HTTP/1.1 bytes, so that tests can send answers no library would.
+// Test HTTP/1.1 server that sends raw bytes, so that tests can send malformed responses.
 //
-// Index: 1 wire_request, 2 wire_connection, 3 wire_server
+// Index: 1 wire_request, 2 wire_connection, 3 wire_server, 4 wire_answer
 #ifndef MARIGOLDCRANK_TESTS_PLATFORM_WIRE_SERVER_HPP
 #define MARIGOLDCRANK_TESTS_PLATFORM_WIRE_SERVER_HPP
 
@@ -16,15 +16,16 @@
 namespace marigoldcrank::tests
 {
 
-/// A request as it was read; names of fields in lower case.
+/// A request as received, with the names of its header fields in lower case.
 struct wire_request
 {
-    std::string                             method;
-    std::string                             target;
-    std::string                             head; // all bytes of the head
+    std::string method;
+    std::string target;
+    std::string head; // all bytes of the request line and header
     std::multimap<std::string, std::string> fields;
     std::string                             body;
 
+    /// The value of a header field or query parameter; empty if there is none.
     std::string field(std::string const& name) const;
     std::string query(std::string const& name) const;
     std::string path() const;
@@ -37,9 +38,9 @@
     explicit wire_connection(int socket);
     ~wire_connection();
 
-    bool read(wire_request& request); // false: the other side has closed
+    bool read(wire_request& request); // false: the connection has ended
     void send(std::string const& bytes);
-    void reset(); // ends it with a reset
+    void reset(); // closes with a TCP reset
     void close();
     bool closed_by_peer() const;
 
@@ -48,8 +49,8 @@
     std::string      buffer_;
 };
 
-/// A thread accepts, and each connection has a thread of its own. The handler returns
-/// false to end the connection.
+/// Accepts connections in one thread and serves each in a thread of its own. The handler
+/// returns false to close the connection.
 class wire_server
 {
 public:
@@ -58,6 +59,7 @@
     wire_server(int port, handler handle);
     ~wire_server();
 
+    /// The number of connections accepted so far, closed ones included.
     std::size_t connections() const;
 
 private:
@@ -68,12 +70,12 @@
     int                                           socket_ = -1;
     std::atomic<bool>                             stopping_{false};
     mutable std::mutex                            mutex_;
-    std::vector<std::shared_ptr<wire_connection>> open_;
+    std::vector<std::shared_ptr<wire_connection>> connections_;
     std::vector<std::thread>                      threads_;
     std::thread                                   acceptor_;
 };
 
-/// An answer with a length.
+/// A response with a Content-Length; each line of `fields` has its line end.
 std::string wire_answer(int status, std::string const& fields, std::string const& body);
 
 } // namespace marigoldcrank::tests
--- a/tests/replay/load_policy_test.cpp
+++ b/tests/replay/load_policy_test.cpp
@@ -1,6 +1,7 @@
-// Replays of loads at their worst through the decisions that answer them.
+// Overload scenarios for placement, refusal, role changes and server orders.
 //
-// Index: 1 a fleet of engines, 2 placing, 3 waiting, 4 roles, 5 buying
+// Index: 1 simulated fleet, 2 placement, 3 refusal of late calls, 4 role changes,
+// 5 server orders
 #include "policy/fleet_plan.hpp"
 #include "policy/pause_watch.hpp"
 #include "policy/placement.hpp"
@@ -20,30 +21,31 @@
 
 using std::chrono::seconds;
 
-// 1. A fleet of engines
+// 1. Simulated fleet
 
-constexpr double prefill_speed = 55'000; // tokens a second
-constexpr double decode_speed = prefill_speed / 2;
+constexpr double prefill_speed = 55'000;                      // tokens/s
+constexpr double prefill_speed_at_decode = prefill_speed / 2; // tokens/s
 
 engine_costs observed_costs()
 {
     constexpr double second_ms = 1000;
     return {.read_speed = prefill_speed / second_ms,
-            .beside_speed = decode_speed / second_ms,
+            .beside_speed = prefill_speed_at_decode / second_ms,
             .observed = true};
 }
 
-/// Engines that read what they are given, in order; streams run for a fixed time.
-struct engine_fleet
+/// A fleet in which each engine prefills the prompts placed at it at a fixed speed, in
+/// order of arrival. The number of running streams stays as the test sets it.
+struct simulated_fleet
 {
     std::vector<backend_server> servers;
     std::vector<server_load>    loads;
-    std::vector<double>         unread; // tokens, as a fluid
+    std::vector<double>         token_queue; // tokens to prefill, by engine; fractional
     prefix_directory            caches;
     boot_clock::time_point      now{std::chrono::hours{1}};
     engine_costs                costs = observed_costs();
 
-    engine_fleet(int prefill, int decode)
+    simulated_fleet(int prefill, int decode)
     {
         for (int index = 0; index < prefill + decode; ++index)
         {
@@ -55,7 +57,7 @@
                  .slots = 64});
         }
         loads.resize(servers.size());
-        unread.resize(servers.size());
+        token_queue.resize(servers.size());
     }
 
     std::vector<candidate> candidates() const
@@ -68,21 +70,21 @@
         return result;
     }
 
-    std::optional<placement> place(caller_call const& call, std::uint64_t ticket,
+    std::optional<placement> place(caller_call const& call, std::uint64_t tie_break,
                                    placement_options const& options = {}) const
     {
         auto       each = candidates();
-        auto const kept = caches.kept(call.prompt, now);
+        auto const cached_by_engine = caches.kept(call.prompt, now);
         for (auto& engine : each)
         {
-            auto const found = kept.find(engine.server->id);
-            if (found != kept.end())
+            auto const found = cached_by_engine.find(engine.server->id);
+            if (found != cached_by_engine.end())
             {
                 engine.kept = found->second.all;
                 engine.ready = found->second.ready;
             }
         }
-        return place_model(each, call, costs, "here", ticket, options);
+        return place_model(each, call, costs, "here", tie_break, options);
     }
 
     std::size_t index_of(backend_server const* server) const
@@ -90,28 +92,30 @@
         return static_cast<std::size_t>(server - servers.data());
     }
 
-    void pass(double time_s)
+    /// Moves the clock on and removes from the queues what the engines prefill meanwhile.
+    void advance(double elapsed_s)
     {
         now += std::chrono::duration_cast<boot_clock::duration>(
-            std::chrono::duration<double>(time_s));
+            std::chrono::duration<double>(elapsed_s));
         for (std::size_t index = 0; index < servers.size(); ++index)
         {
-            bool const   reads = servers[index].role == engine_role::prefill;
-            double const speed = reads ? prefill_speed : decode_speed;
-            unread[index] = std::max(0.0, unread[index] - speed * time_s);
-            loads[index].unread = static_cast<std::int64_t>(unread[index]);
+            bool const   is_prefill_engine = servers[index].role == engine_role::prefill;
+            double const speed =
+                is_prefill_engine ? prefill_speed : prefill_speed_at_decode;
+            token_queue[index] = std::max(0.0, token_queue[index] - speed * elapsed_s);
+            loads[index].unread = static_cast<std::int64_t>(token_queue[index]);
         }
     }
 
-    /// Share of a decode engine's time that goes into reading, over the whole fleet.
-    double reading_at_decode(double seconds_played, double tokens) const
+    /// The share of all decode engines' time that prefilling `tokens` at them takes.
+    double prefill_share_at_decode(double duration_s, double tokens) const
     {
         double engines = 0;
         for (auto const& server : servers)
         {
             engines += server.role == engine_role::decode ? 1 : 0;
         }
-        return tokens / decode_speed / (engines * seconds_played);
+        return tokens / prefill_speed_at_decode / (engines * duration_s);
     }
 };
 
@@ -121,20 +125,21 @@
             .prompt = {{"t", 512}, {std::to_string(subject), 4870}, {"own", 6610}}};
 }
 
-struct swing_result
+struct surge_result
 {
-    double refused = 0;       // of the calls
-    double reading_share = 0; // of the decode engines' time
-    double waited_s = 0;      // mean time to be read, of those admitted
+    double refused = 0;              // share of the calls
+    double decode_prefill_share = 0; // share of the decode engines' time
+    double mean_wait_s = 0;          // s; mean, until an admitted call is prefilled
 };
 
-/// Long prompts arrive faster than all prefill engines together can read them.
-swing_result play_swing(std::int64_t beside_streams, wait_options const& waits)
+/// Simulates long prompts that arrive faster than all prefill engines together can
+/// prefill them.
+surge_result simulate_prompt_surge(std::int64_t beside_streams, wait_options const& waits)
 {
     constexpr double step_s = 0.01;
-    constexpr double length_s = 10;
-    constexpr double calls_a_s = 90;
-    engine_fleet     fleet(6, 9);
+    constexpr double duration_s = 10;
+    constexpr double calls_per_s = 90;
+    simulated_fleet  fleet(6, 9);
     fleet.costs.beside_streams = beside_streams;
     std::mt19937_64 random(7);
     for (auto& load : fleet.loads)
@@ -144,70 +149,74 @@
     double calls = 0;
     double refused = 0;
     double decode_tokens = 0;
-    double waited = 0;
-    double due = 0;
-    for (double now = 0; now < length_s; now += step_s)
+    double total_wait_s = 0;
+    double due_calls = 0;
+    for (double now = 0; now < duration_s; now += step_s)
     {
-        fleet.pass(step_s);
-        for (due += calls_a_s * step_s; due >= 1; due -= 1)
+        fleet.advance(step_s);
+        for (due_calls += calls_per_s * step_s; due_calls >= 1; due_calls -= 1)
         {
             auto const call = long_prompt(static_cast<int>(random() % 62));
             auto const placed = fleet.place(call, random());
             ++calls;
-            auto const speed = placed->prefill_only ? prefill_speed : decode_speed;
+            auto const speed =
+                placed->prefill_only ? prefill_speed : prefill_speed_at_decode;
             if (retry_after_if_late({*placed, true, millis{800}, millis{8000}}, waits))
             {
                 ++refused;
                 continue;
             }
             auto const index = fleet.index_of(placed->server);
-            waited += (fleet.unread[index] + static_cast<double>(placed->unread)) / speed;
-            fleet.unread[index] += static_cast<double>(placed->unread);
+            total_wait_s +=
+                (fleet.token_queue[index] + static_cast<double>(placed->unread)) / speed;
+            fleet.token_queue[index] += static_cast<double>(placed->unread);
             fleet.caches.sent(placed->server->id, call.prompt, millis{0}, fleet.now);
             decode_tokens +=
                 placed->prefill_only ? 0 : static_cast<double>(placed->unread);
         }
     }
-    return {refused / calls, fleet.reading_at_decode(length_s, decode_tokens),
-            waited / (calls - refused)};
+    return {refused / calls, fleet.prefill_share_at_decode(duration_s, decode_tokens),
+            total_wait_s / (calls - refused)};
 }
 
-// 2. Placing
+// 2. Placement
 
-// A swing to long prompts: without a bound on what decoding engines read, the overflow
-// goes to the engines that decode until they do little else, and every stream on them
-// stalls.
-TEST(load_policy, swing_of_long_prompts_leaves_decode_engines_to_their_streams)
+// In a surge of long prompts, without a bound on colocated prefill, the overflow of the
+// prefill engines goes to the decode engines until they do little but prefill, and every
+// stream on them stalls.
+TEST(load_policy, surge_of_long_prompts_does_not_stall_streams_at_decode_engines)
 {
-    auto const before = play_swing(1'000'000'000, {});
-    auto const after = play_swing(pause_watch_options{}.least, {});
-    EXPECT_GT(before.reading_share, 0.30);
-    EXPECT_LT(after.reading_share, 0.15);
+    auto const unbounded = simulate_prompt_surge(1'000'000'000, {});
+    auto const bounded = simulate_prompt_surge(pause_watch_options{}.least, {});
+    EXPECT_GT(unbounded.decode_prefill_share, 0.30);
+    EXPECT_LT(bounded.decode_prefill_share, 0.15);
 }
 
-// Calls that share a part go to one engine, which has it in its cache; under even load
-// none is read a second time.
-TEST(load_policy, calls_with_the_same_part_meet_at_one_engine)
+// Calls that share a part of their prompts go to the engine that has it in its cache.
+// Under even load no shared part is prefilled twice.
+TEST(load_policy, calls_with_a_shared_part_go_to_the_engine_that_caches_it)
 {
-    engine_fleet fleet(6, 9);
+    simulated_fleet fleet(6, 9);
     for (int subject = 0; subject < 62; ++subject)
     {
         auto const call = long_prompt(subject);
         auto const first = fleet.place(call, 1);
         fleet.caches.sent(first->server->id, call.prompt, millis{0}, fleet.now);
-        for (std::uint64_t ticket = 2; ticket < 20; ++ticket)
+        for (std::uint64_t tie_break = 2; tie_break < 20; ++tie_break)
         {
-            auto const again = fleet.place(call, ticket);
+            auto const again = fleet.place(call, tie_break);
             EXPECT_EQ(again->server, first->server);
             EXPECT_EQ(again->unread, 6610);
         }
     }
 }
 
-// Two VMs get calls for a part that no engine keeps before either has told the other.
-TEST(load_policy, calls_for_an_unknown_part_meet_without_a_directory)
+// Two VMs get calls that share a part which no engine has cached, before either VM has
+// received an update from the other. Both choose the same engine without a directory
+// entry.
+TEST(load_policy, calls_with_an_uncached_shared_part_go_to_the_same_engine)
 {
-    engine_fleet fleet(6, 9);
+    simulated_fleet fleet(6, 9);
     for (int subject = 0; subject < 62; ++subject)
     {
         auto const first = fleet.place(long_prompt(subject), 1);
@@ -216,51 +225,52 @@
     }
 }
 
-// That engine is so busy that the call is served sooner elsewhere: with the part fetched
-// from there, or read again where engines can't fetch.
-TEST(load_policy, a_part_is_fetched_or_read_again_rather_than_waited_for)
+// The engine that caches the part is so busy that another one serves the call sooner.
+// That one fetches the part from the first, or prefills it again where engines can't
+// fetch.
+TEST(load_policy, cached_part_at_a_busy_engine_is_fetched_or_prefilled_again)
 {
-    engine_fleet fleet(6, 9);
-    auto const   call = long_prompt(3);
-    auto const   home = fleet.place(call, 1);
-    fleet.caches.sent(home->server->id, call.prompt, millis{0}, fleet.now);
-    fleet.loads[fleet.index_of(home->server)].unread = 60'000;
+    simulated_fleet fleet(6, 9);
+    auto const      call = long_prompt(3);
+    auto const      cache_holder = fleet.place(call, 1);
+    fleet.caches.sent(cache_holder->server->id, call.prompt, millis{0}, fleet.now);
+    fleet.loads[fleet.index_of(cache_holder->server)].unread = 60'000;
     auto const fetched = fleet.place(call, 1);
-    EXPECT_NE(fetched->server, home->server);
-    EXPECT_EQ(fetched->fetch_from, home->server);
+    EXPECT_NE(fetched->server, cache_holder->server);
+    EXPECT_EQ(fetched->fetch_from, cache_holder->server);
     EXPECT_EQ(fetched->unread, 6610);
-    auto const read_again = fleet.place(call, 1, {.fetch = false});
-    EXPECT_NE(read_again->server, home->server);
-    EXPECT_EQ(read_again->fetch_from, nullptr);
-    EXPECT_EQ(read_again->unread, 512 + 4870 + 6610);
+    auto const recomputed = fleet.place(call, 1, {.fetch = false});
+    EXPECT_NE(recomputed->server, cache_holder->server);
+    EXPECT_EQ(recomputed->fetch_from, nullptr);
+    EXPECT_EQ(recomputed->unread, 512 + 4870 + 6610);
 }
 
-// Streams of long events bear no reading beside them, those of short events do. Where
-// they do, a fleet that leaves reading to a third of its engines queues there while the
-// others idle.
-TEST(load_policy, decoding_engines_read_as_much_as_their_streams_bear)
+// Colocated prefill makes the pauses of streams with long events too long, but not those
+// of streams with short events. With short events, a fleet that prefills only at a third
+// of its engines builds a queue there while the others have time to spare.
+TEST(load_policy, decode_engines_prefill_as_much_as_the_pauses_of_streams_allow)
 {
-    pause_watch bears;
-    pause_watch stalls;
+    pause_watch smooth;
+    pause_watch stalling;
     for (int stream = 0; stream < 200; ++stream)
     {
-        bears.ended(20, millis{stream % 10 == 0 ? 170 : 90}, millis{300});
-        stalls.ended(20, millis{stream % 5 == 0 ? 255 : 90}, millis{250});
+        smooth.ended(20, millis{stream % 10 == 0 ? 170 : 90}, millis{300});
+        stalling.ended(20, millis{stream % 5 == 0 ? 255 : 90}, millis{250});
     }
-    EXPECT_EQ(bears.beside_streams(true), pause_watch_options{}.most);
-    EXPECT_EQ(stalls.beside_streams(true), pause_watch_options{}.least);
-    auto const queued = play_swing(stalls.beside_streams(true), {});
-    auto const shared = play_swing(bears.beside_streams(true), {});
-    EXPECT_LT(shared.waited_s, queued.waited_s / 2);
-    EXPECT_LT(shared.refused, queued.refused / 2);
+    EXPECT_EQ(smooth.beside_streams(true), pause_watch_options{}.most);
+    EXPECT_EQ(stalling.beside_streams(true), pause_watch_options{}.least);
+    auto const stalling_result = simulate_prompt_surge(stalling.beside_streams(true), {});
+    auto const smooth_result = simulate_prompt_surge(smooth.beside_streams(true), {});
+    EXPECT_LT(smooth_result.mean_wait_s, stalling_result.mean_wait_s / 2);
+    EXPECT_LT(smooth_result.refused, stalling_result.refused / 2);
 }
 
-/// Most calls that one engine gets if many VMs decide by the same old news, in which one
-/// engine was idle and the others had some work.
-std::size_t most_at_one_engine(double unheard_ms, std::int64_t choices)
+/// The highest number of calls placed at one engine when many VMs decide by the same
+/// stale loads, in which one engine was idle and the others had some work.
+std::size_t max_calls_at_one_engine(double unheard_ms, std::int64_t choices)
 {
-    constexpr int calls = 90;
-    engine_fleet  fleet(30, 60);
+    constexpr int   calls = 90;
+    simulated_fleet fleet(30, 60);
     for (auto& load : fleet.loads)
     {
         load.unread = 4000;
@@ -269,33 +279,34 @@
     fleet.costs.unheard_ms = unheard_ms;
     fleet.costs.choices = choices;
     std::mt19937_64                    random(11);
-    std::map<std::string, std::size_t> given;
-    std::size_t                        most = 0;
+    std::map<std::string, std::size_t> calls_by_engine;
+    std::size_t                        busiest = 0;
     for (int call = 0; call < calls; ++call)
     {
-        auto const alone = caller_call{.id = "c", .prompt = {{"own", 6000}}};
-        auto const placed = fleet.place(alone, random());
-        most = std::max(most, ++given[placed->server->id]);
+        auto const own_prompt = caller_call{.id = "c", .prompt = {{"own", 6000}}};
+        auto const placed = fleet.place(own_prompt, random());
+        busiest = std::max(busiest, ++calls_by_engine[placed->server->id]);
     }
-    return most;
+    return busiest;
 }
 
-// Eighty VMs hear of each other through relays, 450 ms late. All of them choose the
-// engine that was idle then, which gets the prompts of half a second at once while others
-// idle.
-TEST(load_policy, old_news_sends_no_herd_to_one_engine)
+// In a fleet of 80 VMs, updates come through relays and are 450 ms old. If every VM
+// chooses the engine that was idle then, this engine gets all prompts of half a second at
+// once while others idle.
+TEST(load_policy, stale_loads_do_not_send_all_calls_to_one_engine)
 {
-    EXPECT_EQ(most_at_one_engine(0, 0), 90U);
-    EXPECT_LT(most_at_one_engine(130, 0), 45U);
-    EXPECT_LT(most_at_one_engine(130, 4), 25U);
+    EXPECT_EQ(max_calls_at_one_engine(0, 0), 90U);
+    EXPECT_LT(max_calls_at_one_engine(130, 0), 45U);
+    EXPECT_LT(max_calls_at_one_engine(130, 4), 25U);
 }
 
-// Engines read in the order of arrival, whatever the rank: an urgent call of 1,000 tokens
-// that came 57 ms after a prompt of 45,000 waited 670 ms for it. All that waits counts,
-// so an urgent call goes where least waits, and is refused where all would be too late.
-TEST(load_policy, urgent_calls_see_all_that_is_read_before_them)
+// Engines prefill in order of arrival, whatever the priority: an urgent call of 1,000
+// tokens that arrived 57 ms after a prompt of 45,000 tokens waited 670 ms for it. So the
+// whole queue counts for urgent calls: they go to the engine with the shortest queue, and
+// are refused if they would be late at every engine.
+TEST(load_policy, urgent_calls_count_the_whole_queue_before_them)
 {
-    engine_fleet fleet(2, 2);
+    simulated_fleet fleet(2, 2);
     for (auto& load : fleet.loads)
     {
         load.unread = 500'000;
@@ -304,18 +315,19 @@
     EXPECT_GE(placed->wait_ms, 500'000 / fleet.costs.read_speed);
     EXPECT_TRUE(retry_after_if_late({*placed, true, millis{400}, millis{2500}}, {}));
     fleet.loads[1].unread = 0;
-    auto const free = fleet.place(long_prompt(1), 1);
-    EXPECT_EQ(free->server, &fleet.servers[1]);
-    EXPECT_FALSE(retry_after_if_late({*free, true, millis{400}, millis{2500}}, {}));
+    auto const idle = fleet.place(long_prompt(1), 1);
+    EXPECT_EQ(idle->server, &fleet.servers[1]);
+    EXPECT_FALSE(retry_after_if_late({*idle, true, millis{400}, millis{2500}}, {}));
 }
 
-// Short prompts come faster than the decoding engines can read them beside their streams.
-// An event holds the tokens of eleven steps, and a step with a piece to read takes eight
-// times as long: with reading all the time, pauses grow beyond what callers are promised.
-TEST(load_policy, short_prompts_are_handed_over_while_decoding_engines_read)
+// Short prompts arrive faster than the decode engines can prefill them beside their
+// streams. An event holds the tokens of eleven decode steps, and a step that also
+// prefills takes eight times as long. Constant prefill there makes the pauses between
+// events longer than callers are promised.
+TEST(load_policy, short_prompts_are_handed_off_while_decode_engines_prefill)
 {
-    engine_fleet fleet(4, 2);
-    fleet.costs.beside_streams = pause_watch_options{}.least; // pauses near the promise
+    simulated_fleet fleet(4, 2);
+    fleet.costs.beside_streams = pause_watch_options{}.least; // pauses near the bound
     auto const short_prompt = caller_call{.id = "c", .prompt = {{"t", 198}, {"o", 628}}};
     auto const idle = fleet.place(short_prompt, 1);
     EXPECT_FALSE(idle->prefill_only);
@@ -327,11 +339,11 @@
     EXPECT_TRUE(busy->prefill_only);
 }
 
-// All engines are suspect after a failure of the network: calls still go somewhere.
-TEST(load_policy, suspects_are_the_last_choice_and_not_none)
+// After a network failure all engines are suspect. Calls must still be placed at one.
+TEST(load_policy, suspect_engines_are_chosen_only_if_there_is_no_other)
 {
-    engine_fleet fleet(0, 3);
-    auto         candidates = fleet.candidates();
+    simulated_fleet fleet(0, 3);
+    auto            candidates = fleet.candidates();
     for (auto& each : candidates)
     {
         each.suspect = true;
@@ -341,37 +353,39 @@
     EXPECT_EQ(place_plain(candidates, "here", 0), candidates[1].server);
 }
 
-// 3. Waiting
+// 3. Refusal of late calls
 
-// The same swing: those who wait are read in time for their answer to be worth something,
-// the rest is told at once when to come back.
-TEST(load_policy, swing_is_refused_at_once_beyond_what_can_be_read_in_time)
+// In the same surge, calls are admitted only if their prompts are prefilled in time for
+// the response to be of use. The others are refused at once with a time to retry.
+TEST(load_policy, surge_is_refused_beyond_what_can_be_prefilled_in_time)
 {
-    auto const         least = pause_watch_options{}.least;
-    auto const         result = play_swing(least, {});
-    wait_options const endless{.longest_wait = 1e9};
-    auto const         without = play_swing(least, endless);
+    auto const         few_streams = pause_watch_options{}.least;
+    auto const         result = simulate_prompt_surge(few_streams, {});
+    wait_options const unlimited{.longest_wait = 1e9};
+    auto const         unlimited_result = simulate_prompt_surge(few_streams, unlimited);
     EXPECT_GT(result.refused, 0.05);
     EXPECT_LT(result.refused, 0.5);
-    EXPECT_LT(without.refused, result.refused); // only what can't be read by its deadline
-    EXPECT_LT(result.waited_s, 2.0);
-    EXPECT_GT(without.waited_s, result.waited_s);
+    EXPECT_LT(unlimited_result.refused,
+              result.refused); // only what misses its deadline
+    EXPECT_LT(result.mean_wait_s, 2.0);
+    EXPECT_GT(unlimited_result.mean_wait_s, result.mean_wait_s);
 }
 
-TEST(load_policy, time_to_come_back_is_when_the_queue_will_be_short)
+TEST(load_policy, retry_after_is_when_the_queue_will_be_short)
 {
     placement const placed{.unread = 6000, .wait_ms = 4000, .read_ms = 110};
-    auto const back = retry_after_if_late({placed, true, millis{800}, millis{8000}}, {});
-    ASSERT_TRUE(back);
-    EXPECT_EQ(*back, wait_options{}.latest);
+    auto const      retry_after =
+        retry_after_if_late({placed, true, millis{800}, millis{8000}}, {});
+    ASSERT_TRUE(retry_after);
+    EXPECT_EQ(*retry_after, wait_options{}.latest);
     EXPECT_FALSE(retry_after_if_late({placed, false, millis{800}, millis{8000}}, {}));
-    placement const next{.unread = 500'000, .read_ms = 9000};
-    EXPECT_FALSE(retry_after_if_late({next, true, millis{800}, millis{8000}}, {}));
+    placement const no_queue{.unread = 500'000, .read_ms = 9000};
+    EXPECT_FALSE(retry_after_if_late({no_queue, true, millis{800}, millis{8000}}, {}));
 }
 
-// 4. Roles
+// 4. Role changes
 
-std::vector<split_engine> engines_of(engine_fleet const& fleet)
+std::vector<split_engine> engines_of(simulated_fleet const& fleet)
 {
     std::vector<split_engine> result;
     for (auto const& server : fleet.servers)
@@ -381,10 +395,11 @@
     return result;
 }
 
-// The mix swings to prompts: engines turn to reading, a few at a time.
-TEST(load_policy, roles_follow_a_swing_that_overloads_one_of_them)
+// The load shifts from decode to prefill. Decode engines change to prefill, a few at a
+// time.
+TEST(load_policy, roles_follow_a_shift_that_overloads_one_of_them)
 {
-    engine_fleet const           fleet(4, 8);
+    simulated_fleet const        fleet(4, 8);
     boot_clock::time_point const now{std::chrono::hours{1}};
     auto const chosen = plan_role_changes(engines_of(fleet), {8, 3}, now, {});
     ASSERT_EQ(chosen.size(), 2U);
@@ -394,32 +409,34 @@
     }
 }
 
-// Neither role is busy: a change would cost an engine for seconds and gain nothing.
+// Neither role is overloaded. A change would take an engine out of service for seconds
+// and gain nothing.
 TEST(load_policy, roles_stay_while_both_carry_their_load)
 {
-    engine_fleet const           fleet(4, 8);
+    simulated_fleet const        fleet(4, 8);
     boot_clock::time_point const now{std::chrono::hours{1}};
     EXPECT_TRUE(plan_role_changes(engines_of(fleet), {1.9, 1}, now, {}).empty());
     EXPECT_TRUE(plan_role_changes(engines_of(fleet), {0, 0}, now, {}).empty());
     EXPECT_TRUE(plan_role_changes({}, {9, 9}, now, {}).empty());
 }
 
-// The same swing where engines that decode read beside their streams: they take over what
-// the others lack, and no engine is out for seconds.
-TEST(load_policy, roles_stay_while_decoding_engines_take_over_reading)
+// The load shifts to prefill where decode engines may prefill beside their streams. They
+// take over what exceeds the prefill engines' capacity, and no engine is out of service
+// for seconds.
+TEST(load_policy, roles_stay_while_decode_engines_take_over_prefill)
 {
-    engine_fleet const           fleet(6, 12);
+    simulated_fleet const        fleet(6, 12);
     boot_clock::time_point const now{std::chrono::hours{1}};
     role_need const              need{.prefill = 5.5, .decode = 1.3, .beside = true};
     EXPECT_TRUE(plan_role_changes(engines_of(fleet), need, now, {}).empty());
-    role_need const apart{.prefill = 5.5, .decode = 1.3};
-    EXPECT_FALSE(plan_role_changes(engines_of(fleet), apart, now, {}).empty());
+    role_need const separate{.prefill = 5.5, .decode = 1.3};
+    EXPECT_FALSE(plan_role_changes(engines_of(fleet), separate, now, {}).empty());
 }
 
-// The swing goes back before the changed engines have served: they aren't changed again.
+// The load shifts back before the changed engines have served. They aren't changed again.
 TEST(load_policy, an_engine_is_not_changed_again_before_it_has_settled)
 {
-    engine_fleet const           fleet(4, 8);
+    simulated_fleet const        fleet(4, 8);
     boot_clock::time_point const now{std::chrono::hours{1}};
     auto                         engines = engines_of(fleet);
     for (auto& each : engines)
@@ -429,8 +446,8 @@
     EXPECT_TRUE(plan_role_changes(engines, {12, 1}, now, {}).empty());
 }
 
-// A queue makes every read look slow. Taken for the engine's speed it would turn ever
-// more engines to reading, up to a fleet in which nothing decodes.
+// Time in a queue makes every prefill look slow. If it counted toward the engine's speed,
+// ever more engines would change to prefill, until none decodes.
 TEST(load_policy, speed_of_an_engine_is_not_learned_from_its_queue)
 {
     work_meter             meter;
@@ -449,7 +466,7 @@
     EXPECT_LT(meter.demand(now).prefill_engines(), 5);
 }
 
-// 5. Buying
+// 5. Server orders
 
 service model_service()
 {
@@ -458,8 +475,8 @@
             .fleet = fleet_bounds{.least = 1, .most = 8, .reclaimable = true}};
 }
 
-/// Three data centres of `present` each.
-fleet_state three_centres(fleet_count present, std::int64_t wanted)
+/// A fleet of three data centres, each with the servers `present`.
+fleet_state three_data_centres(fleet_count present, std::int64_t wanted)
 {
     fleet_state state{.wanted = wanted,
                       .known_since = boot_clock::time_point{seconds{1}}};
@@ -470,8 +487,8 @@
     return state;
 }
 
-std::int64_t full_price_of(std::vector<server_order> const& orders,
-                           std::string const&               data_centre)
+std::int64_t full_price_count(std::vector<server_order> const& orders,
+                              std::string const&               data_centre)
 {
     for (auto const& order : orders)
     {
@@ -483,82 +500,84 @@
     return -1;
 }
 
-constexpr boot_clock::time_point at{seconds{99}};
+constexpr boot_clock::time_point start_time{seconds{99}};
 
-// Nothing is known of demand yet and cheap servers are available: they will carry the
-// load, and full-price ones stay as a floor.
-TEST(load_policy, cheap_servers_are_bought_up_to_the_bound_above_a_floor)
+// Demand isn't known yet and cheap servers are available. They are ordered up to the
+// bound, and full-price servers stay as a minimum.
+TEST(load_policy, cheap_servers_are_ordered_up_to_the_bound_above_a_minimum)
 {
-    auto state = three_centres({.full = 4}, 0);
+    auto state = three_data_centres({.full = 4}, 0);
     state.known_since = {};
-    auto const orders = plan_fleet(model_service(), state, at, {});
+    auto const orders = plan_fleet(model_service(), state, start_time, {});
     ASSERT_EQ(orders.size(), 6U);
     EXPECT_EQ(orders[0], (server_order{"m", "a", 1, false}));
     EXPECT_EQ(orders[1], (server_order{"m", "a", 7, true}));
 }
 
-// Callers ask for more than would be left at once: those of full price stay until the
-// cheap ones run.
+// Demand exceeds what would be left if the full-price servers were released at once. They
+// are kept until the cheap ones run.
 TEST(load_policy, full_price_servers_are_kept_until_cheap_ones_run)
 {
     auto const early =
-        plan_fleet(model_service(), three_centres({.full = 4}, 12), at, {});
-    EXPECT_EQ(full_price_of(early, "a"), -1);
+        plan_fleet(model_service(), three_data_centres({.full = 4}, 12), start_time, {});
+    EXPECT_EQ(full_price_count(early, "a"), -1);
     EXPECT_EQ(early[0], (server_order{"m", "a", 4, true}));
-    auto const later =
-        plan_fleet(model_service(), three_centres({.full = 4, .cheap = 4}, 12), at, {});
-    EXPECT_EQ(full_price_of(later, "a"), 1);
-}
-
-// All cheap servers of a data centre are taken back and none is to be had there: half of
-// its places are filled at full price, and given back once cheap ones are available
-// again.
-TEST(load_policy, full_price_servers_come_back_while_cheap_ones_are_not_sold)
-{
-    auto state = three_centres({.full = 1, .cheap = 7}, 12);
-    state.centres["c"] = {.present = {.full = 1}, .refused = at - seconds{1}};
-    auto const orders = plan_fleet(model_service(), state, at, {});
-    EXPECT_EQ(full_price_of(orders, "c"), 4);
-    EXPECT_EQ(full_price_of(orders, "a"), -1);
-    auto const later = plan_fleet(model_service(), state, at + seconds{20}, {});
+    auto const later = plan_fleet(
+        model_service(), three_data_centres({.full = 4, .cheap = 4}, 12), start_time, {});
+    EXPECT_EQ(full_price_count(later, "a"), 1);
+}
+
+// All cheap servers of a data centre are reclaimed and no new ones are available there.
+// Full-price servers fill half of its bound until cheap ones are available again.
+TEST(load_policy, full_price_servers_replace_cheap_ones_that_are_unavailable)
+{
+    auto state = three_data_centres({.full = 1, .cheap = 7}, 12);
+    state.centres["c"] = {.present = {.full = 1}, .refused = start_time - seconds{1}};
+    auto const orders = plan_fleet(model_service(), state, start_time, {});
+    EXPECT_EQ(full_price_count(orders, "c"), 4);
+    EXPECT_EQ(full_price_count(orders, "a"), -1);
+    auto const later = plan_fleet(model_service(), state, start_time + seconds{20}, {});
     ASSERT_EQ(later.size(), 1U);
     EXPECT_EQ(later[0], (server_order{"m", "c", 7, true}));
 }
 
-// One data centre has lost its cheap servers, and a second one may at any moment, with
-// less notice than a start takes. What callers ask must be carried without both.
-TEST(load_policy, next_loss_of_cheap_servers_is_provided_for)
+// One data centre has lost its cheap servers, and a second one may lose them at any
+// moment, with less notice than a server takes to start. The remaining servers must carry
+// the demand without either.
+TEST(load_policy, orders_cover_the_next_loss_of_cheap_servers)
 {
-    auto state = three_centres({.full = 1, .cheap = 7}, 15);
-    state.centres["c"] = {.present = {.full = 1}, .refused = at - seconds{1}};
-    auto const orders = plan_fleet(model_service(), state, at, {});
-    EXPECT_EQ(full_price_of(orders, "c"), 6); // 1 and 8 elsewhere; two places for cheap
+    auto state = three_data_centres({.full = 1, .cheap = 7}, 15);
+    state.centres["c"] = {.present = {.full = 1}, .refused = start_time - seconds{1}};
+    auto const orders = plan_fleet(model_service(), state, start_time, {});
+    EXPECT_EQ(full_price_count(orders, "c"),
+              6); // 15 less 1 and 8 elsewhere; 2 for cheap
 }
 
-// The holder of the duties dies while cheap servers are not available. Its successor has
-// never seen more of full price than the floor, and buys all the same.
-TEST(load_policy, what_is_bought_does_not_depend_on_what_a_holder_has_seen)
+// The VM that holds the duties fails while cheap servers are unavailable. Its successor
+// has never seen more full-price servers than the minimum, and must order more all the
+// same.
+TEST(load_policy, orders_do_not_depend_on_what_a_duty_holder_has_seen)
 {
-    fleet_state fresh;
-    fresh.count({{"a", {1, 7}}, {"b", {1, 0}}, {"c", {1, 0}}});
-    fresh.want(10, at);
-    fresh.centres["b"].refused = at;
-    fresh.centres["c"].refused = at;
-    auto const orders = plan_fleet(model_service(), fresh, at, {});
-    EXPECT_GE(full_price_of(orders, "b"), 4);
-    EXPECT_GE(full_price_of(orders, "c"), 4);
+    fleet_state successor;
+    successor.count({{"a", {1, 7}}, {"b", {1, 0}}, {"c", {1, 0}}});
+    successor.want(10, start_time);
+    successor.centres["b"].refused = start_time;
+    successor.centres["c"].refused = start_time;
+    auto const orders = plan_fleet(model_service(), successor, start_time, {});
+    EXPECT_GE(full_price_count(orders, "b"), 4);
+    EXPECT_GE(full_price_count(orders, "c"), 4);
 }
 
-// Data centres that may have far more servers than callers ask for: cheap ones are held
-// for twice what is wanted and the loss of one centre, not up to the bound. A demand that
-// wavers neither orders nor dismisses any.
-TEST(load_policy, cheap_servers_follow_what_callers_ask_where_there_is_room)
+// The data centres may hold far more servers than the demand needs. Cheap servers are
+// ordered for twice the demand and for the loss of one data centre, not up to the bound.
+// Small changes of demand neither order nor dismiss any.
+TEST(load_policy, cheap_servers_follow_demand_below_the_bound)
 {
     auto large = model_service();
     large.fleet->most = 46;
-    auto state = three_centres({.full = 3}, 44);
+    auto state = three_data_centres({.full = 3}, 44);
     state.centres["d"] = {.present = {.full = 3}};
-    auto const orders = plan_fleet(large, state, at, {});
+    auto const orders = plan_fleet(large, state, start_time, {});
     ASSERT_EQ(orders.size(), 4U);
     EXPECT_EQ(orders[0], (server_order{"m", "a", 30, true}));
     for (auto& [name, centre] : state.centres)
@@ -568,28 +587,28 @@
     for (std::int64_t wanted = 38; wanted <= 50; ++wanted)
     {
         state.wanted = wanted;
-        EXPECT_TRUE(plan_fleet(large, state, at, {}).empty()) << wanted;
+        EXPECT_TRUE(plan_fleet(large, state, start_time, {}).empty()) << wanted;
     }
     state.wanted = 15;
-    EXPECT_FALSE(plan_fleet(large, state, at, {}).empty());
+    EXPECT_FALSE(plan_fleet(large, state, start_time, {}).empty());
 }
 
-// Traffic has just begun, and its rate looks small: no server is dismissed by it.
-TEST(load_policy, demand_that_has_just_been_seen_dismisses_no_server)
+// The rate of traffic that has just begun is underestimated. It must not dismiss servers.
+TEST(load_policy, demand_known_only_briefly_dismisses_no_server)
 {
-    auto state = three_centres({.full = 1, .cheap = 7}, 0);
+    auto state = three_data_centres({.full = 1, .cheap = 7}, 0);
     state.known_since = {};
-    state.want(1, at);
-    EXPECT_TRUE(plan_fleet(model_service(), state, at + seconds{2}, {}).empty());
-    EXPECT_FALSE(plan_fleet(model_service(), state, at + seconds{9}, {}).empty());
+    state.want(1, start_time);
+    EXPECT_TRUE(plan_fleet(model_service(), state, start_time + seconds{2}, {}).empty());
+    EXPECT_FALSE(plan_fleet(model_service(), state, start_time + seconds{9}, {}).empty());
 }
 
-// The first calls of a swing ask for ten engines. A rate that decays over eight seconds
-// would show a quarter of that after two, and the change of roles would come too late.
+// The first calls of a surge need ten engines. A rate that decays over eight seconds
+// would show a quarter of that after two, and roles would change too late.
 TEST(load_policy, demand_is_known_soon_after_traffic_begins)
 {
     work_meter meter;
-    auto       now = at;
+    auto       now = start_time;
     for (int read = 0; read < 100; ++read)
     {
         meter.prompt_read({.tokens = 50'000, .took = seconds{1}});
@@ -602,21 +621,24 @@
     EXPECT_NEAR(meter.demand(now).prefill_engines(), 10, 1.5);
 }
 
-// Demand falls between two bursts: what the next one needs isn't given up meanwhile.
-TEST(load_policy, wanted_servers_are_remembered_between_bursts)
+// Demand falls between two bursts. The servers that the next burst needs must stay
+// meanwhile.
+TEST(load_policy, wanted_servers_are_held_between_bursts)
 {
     fleet_state state;
-    state.want(12, at);
-    state.want(3, at + seconds{5});
+    state.want(12, start_time);
+    state.want(3, start_time + seconds{5});
     EXPECT_EQ(state.wanted, 12);
-    state.want(3, at + seconds{9});
+    state.want(3, start_time + seconds{9});
     EXPECT_EQ(state.wanted, 3);
 }
 
-TEST(load_policy, services_whose_servers_are_not_sold_get_no_orders)
+TEST(load_policy, services_without_fleet_bounds_get_no_orders)
 {
-    service const plain{.name = "desk"};
-    EXPECT_TRUE(plan_fleet(plain, three_centres({.full = 1}, 3), at, {}).empty());
+    service const fixed_service{.name = "desk"};
+    EXPECT_TRUE(
+        plan_fleet(fixed_service, three_data_centres({.full = 1}, 3), start_time, {})
+            .empty());
 }
 
 } // namespace
--- a/tests/replay/quota_replay_test.cpp
+++ b/tests/replay/quota_replay_test.cpp
@@ -1,5 +1,4 @@
-// Quotas under the loads that broke them: swings above the quota, a lowered quota, one
-// workspace that sends many times its usual.
+// Simulated loads at and above a workspace's quota, on a fleet of 90 VMs.
 #include "quota_replay.hpp"
 
 #include <gtest/gtest.h>
@@ -11,9 +10,9 @@
 
 constexpr int seeds = 20;
 
-/// Replays the load on 90 VMs: no window above the bound, and nearly all that an exact
-/// bucket lets run.
-void expect_kept(quota_load const& load)
+/// Replays the load on 90 VMs. No window may run more than the tolerated bound, and
+/// nearly all units that one exact token bucket would admit must run.
+void expect_quota_enforced(quota_load const& load)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
@@ -23,8 +22,8 @@
     }
 }
 
-// A workspace's usual swings take it to 1.4 times its quota for some seconds; all that it
-// sent ran, 8 % more in a window than is tolerated.
+// The load of a workspace rises to 1.4 times its quota for some seconds. If all of it
+// runs, a window holds 8 % more than is tolerated.
 TEST(quota_replay, swings_above_the_quota_stay_within_the_bound)
 {
     quota_load load;
@@ -32,30 +31,31 @@
     load.usual = 0.55;
     load.peak = 2.55;
     load.peak_end = load.peak_begin + millis{8000};
-    expect_kept(load);
+    expect_quota_enforced(load);
 }
 
-// A quota is lowered far below what its workspace sends all day.
+// A quota is lowered far below the constant load of its workspace.
 TEST(quota_replay, workspace_far_above_a_lowered_quota_gets_what_it_allows)
 {
     quota_load load;
     load.quota = {.rate = 60'780, .burst = 218'805, .tokens = true, .unstated = 200};
     load.usual = 1.4;
     load.peak = 1;
-    expect_kept(load);
+    expect_quota_enforced(load);
 }
 
-// One workspace sends six times its usual for eleven seconds.
+// One workspace sends six times its usual load for eleven seconds.
 TEST(quota_replay, workspace_that_sends_many_times_its_usual_gets_what_its_quota_allows)
 {
     quota_load load;
     load.quota = {.rate = 533'643, .burst = 533'643, .tokens = true, .unstated = 200};
     load.peak = 6;
     load.peak_end = load.peak_begin + millis{11'000};
-    expect_kept(load);
+    expect_quota_enforced(load);
 }
 
-// Nobody is refused for an uneven spread: a workspace that stays within its quota.
+// Calls spread unevenly over the VMs. A workspace that stays within its quota must not be
+// refused for that.
 TEST(quota_replay, workspace_within_its_quota_is_not_refused)
 {
     quota_load load;
--- a/tests/replay/trace_replay_test.cpp
+++ b/tests/replay/trace_replay_test.cpp
@@ -1,6 +1,6 @@
-// Replays every trace and compares with the outcomes beside it.
+// Replays every trace and compares the results with the files stored next to it.
 //
-// Index: 1 reading outcomes, 2 tests
+// Index: 1 traces and measures, 2 tests
 #include "replay_table.hpp"
 
 #include <gtest/gtest.h>
@@ -15,9 +15,9 @@
 using namespace marigoldcrank;
 using namespace marigoldcrank::model;
 
-// 1. Reading outcomes
+// 1. Traces and measures
 
-std::filesystem::path traces()
+std::filesystem::path trace_directory()
 {
     return std::filesystem::path{MARIGOLDCRANK_SOURCE} / "traces";
 }
@@ -25,7 +25,7 @@
 std::vector<std::string> trace_names()
 {
     std::vector<std::string> names;
-    for (auto const& entry : std::filesystem::directory_iterator(traces()))
+    for (auto const& entry : std::filesystem::directory_iterator(trace_directory()))
     {
         if (entry.path().extension() == ".trace")
         {
@@ -36,9 +36,9 @@
     return names;
 }
 
-std::string content(std::string const& file)
+std::string file_content(std::string const& file)
 {
-    std::ifstream      stream(traces() / file);
+    std::ifstream      stream(trace_directory() / file);
     std::ostringstream text;
     text << stream.rdbuf();
     return text.str();
@@ -46,35 +46,37 @@
 
 trace load(std::string const& name)
 {
-    return leaf::try_handle_all([&] { return load_trace(traces() / (name + ".trace")); },
-                                [&]
-                                {
-                                    ADD_FAILURE() << "cannot read " << name;
-                                    return trace{};
-                                });
+    return leaf::try_handle_all(
+        [&] { return load_trace(trace_directory() / (name + ".trace")); },
+        [&]
+        {
+            ADD_FAILURE() << "cannot load trace " << name;
+            return trace{};
+        });
 }
 
 std::map<std::string, std::int64_t> measures(trace const&                   input,
                                              std::vector<policy_run> const& runs)
 {
-    auto const& turns = runs[0].result;
-    auto const& least = runs[1].result;
-    auto const& own = runs[2].result;
-    bool const  shifts = input.shift.to_us > 0;
-    auto const  simple = shifts ? std::max(turns.shift_good, least.shift_good)
-                                : std::max(turns.good, least.good);
-    auto const  refused = own.refused.find("poison");
-    return {{"good", own.good * 1'000 / own.offered},
-            {"simple", (shifts ? own.shift_good : own.good) * 1'000 /
-                           std::max<std::int64_t>(1, simple)},
-            {"worst", worst_served_milli(input, own)},
-            {"changes", own.role_changes},
-            {"crashes", own.crashes},
-            {"poison", refused == own.refused.end() ? 0 : refused->second},
-            {"once_on_cheap", own.once_on_cheap}};
+    auto const& round_robin = runs[0].result;
+    auto const& least_load = runs[1].result;
+    auto const& own_policy = runs[2].result;
+    bool const  has_shift = input.shift.to_us > 0;
+    auto const  best_simple = has_shift
+                                  ? std::max(round_robin.shift_good, least_load.shift_good)
+                                  : std::max(round_robin.good, least_load.good);
+    auto const  refused = own_policy.refused.find("poison");
+    return {{"good", own_policy.good * 1'000 / own_policy.offered},
+            {"simple", (has_shift ? own_policy.shift_good : own_policy.good) * 1'000 /
+                           std::max<std::int64_t>(1, best_simple)},
+            {"worst", worst_served_milli(input, own_policy)},
+            {"changes", own_policy.role_changes},
+            {"crashes", own_policy.crashes},
+            {"poison", refused == own_policy.refused.end() ? 0 : refused->second},
+            {"once_on_cheap", own_policy.once_on_cheap}};
 }
 
-bool holds(std::int64_t value, std::string const& relation, std::int64_t bound)
+bool satisfies(std::int64_t value, std::string const& relation, std::int64_t bound)
 {
     return relation == ">="   ? value >= bound
            : relation == "<=" ? value <= bound
@@ -88,15 +90,17 @@
 
 // 2. Tests
 
-// What a user must see under this load and fault, stated before the run by the generator
-// of the traces; and the exact figures of the last accepted run, decisions included.
+// Checks a trace against two files. The bounds in NAME.stated say what a user must see
+// under this load and fault; the generator of the traces writes them before any run. The
+// figures in NAME.measured are those of the last accepted run, decisions included, and
+// must match exactly.
 TEST_P(trace_replay, meets_its_stated_outcome_exactly)
 {
     auto const input = load(GetParam());
     auto const runs = run_measured(input);
-    auto const found = measures(input, runs);
+    auto const measured = measures(input, runs);
 
-    std::istringstream stated(content(GetParam() + ".stated"));
+    std::istringstream stated(file_content(GetParam() + ".stated"));
     std::string        measure;
     std::string        relation;
     std::int64_t       bound = 0;
@@ -104,10 +108,10 @@
     while (stated >> measure >> relation >> bound)
     {
         ++lines;
-        ASSERT_EQ(found.count(measure), 1U) << measure;
-        EXPECT_TRUE(holds(found.at(measure), relation, bound))
+        ASSERT_EQ(measured.count(measure), 1U) << measure;
+        EXPECT_TRUE(satisfies(measured.at(measure), relation, bound))
             << measure << " " << relation << " " << bound << ", found "
-            << found.at(measure);
+            << measured.at(measure);
     }
     EXPECT_GT(lines, 1);
 
@@ -116,7 +120,7 @@
     {
         exact += format_exact(run);
     }
-    EXPECT_EQ(exact, content(GetParam() + ".measured"));
+    EXPECT_EQ(exact, file_content(GetParam() + ".measured"));
 }
 
 INSTANTIATE_TEST_SUITE_P(all, trace_replay, testing::ValuesIn(trace_names()),
@@ -133,14 +137,15 @@
     EXPECT_EQ(run_replay(input, {}), run_replay(input, {}));
 }
 
-// A caller with a deadline sees refusals in bursts: half the engines report five seconds
-// late, look idle or busy from then, and draw all entry VMs or none. Without notices of
-// dispatches the entry VMs meet at the same engines; with them, goodput holds.
-TEST(trace_replay, notices_of_dispatches_keep_entry_vms_apart)
+// Half the engines report their load five seconds late. They look idle or busy by stale
+// reports, so all entry VMs choose the same engines and calls with a deadline are refused
+// in bursts. With dispatch notices between the entry VMs, goodput holds.
+TEST(trace_replay, dispatch_notices_spread_entry_vms_over_engines)
 {
     auto const     input = load("sportdag-late-reports");
-    replay_options with;
-    replay_options without;
-    without.notices = false;
-    EXPECT_GT(run_replay(input, with).good, run_replay(input, without).good);
+    replay_options with_notices;
+    replay_options without_notices;
+    without_notices.notices = false;
+    EXPECT_GT(run_replay(input, with_notices).good,
+              run_replay(input, without_notices).good);
 }
