--- a/tests/replay/trace_replay_test.cpp
+++ b/tests/replay/trace_replay_test.cpp
@@ -62,13 +62,13 @@
     auto const& least_load = runs[1].result;
     auto const& own_policy = runs[2].result;
     bool const  has_shift = input.shift.to_us > 0;
-    auto const  best_simple = has_shift
-                                  ? std::max(round_robin.shift_good, least_load.shift_good)
-                                  : std::max(round_robin.good, least_load.good);
+    auto const  baseline = has_shift
+                               ? std::max(round_robin.shift_good, least_load.shift_good)
+                               : std::max(round_robin.good, least_load.good);
     auto const  refused = own_policy.refused.find("poison");
     return {{"good", own_policy.good * 1'000 / own_policy.offered},
             {"simple", (has_shift ? own_policy.shift_good : own_policy.good) * 1'000 /
-                           std::max<std::int64_t>(1, best_simple)},
+                           std::max<std::int64_t>(1, baseline)},
             {"worst", worst_served_milli(input, own_policy)},
             {"changes", own_policy.role_changes},
             {"crashes", own_policy.crashes},
