--- a/tests/platform/support/entry_world.hpp
+++ b/tests/platform/support/entry_world.hpp
@@ -103,17 +103,17 @@
     std::vector<std::unique_ptr<tcp_relay>>      store_relays_;  // by daemon
     std::vector<std::unique_ptr<tcp_relay>>      server_relays_; // by server
     std::vector<int>                             store_ports_;   // by daemon
-    std::map<std::string, int>   server_ports_; // of its relay, by server id
-    std::unique_ptr<wire_server> duty_server_;
-    int                          store_port_ = 0;
-    int                          duty_port_ = 0;
-    std::vector<int>             caller_ports_;
-    std::vector<int>             readiness_ports_;
-    std::vector<int>             peer_ports_;
-    std::vector<int>             record_ports_;
-    std::vector<std::unique_ptr<child_process>> daemons_;
-    mutable std::mutex                          mutex_;
-    std::vector<duty_call>                      duty_requests_;
+    std::map<std::string, int>                   server_ports_;  // of relays, by id
+    std::unique_ptr<wire_server>                 duty_server_;
+    int                                          store_port_ = 0;
+    int                                          duty_port_ = 0;
+    std::vector<int>                             caller_ports_;
+    std::vector<int>                             readiness_ports_;
+    std::vector<int>                             peer_ports_;
+    std::vector<int>                             record_ports_;
+    std::vector<std::unique_ptr<child_process>>  daemons_;
+    mutable std::mutex                           mutex_;
+    std::vector<duty_call>                       duty_requests_;
 };
 
 } // namespace marigoldcrank::tests
--- a/tests/replay/load_policy_test.cpp
+++ b/tests/replay/load_policy_test.cpp
@@ -366,7 +366,7 @@
     EXPECT_GT(result.refused, 0.05);
     EXPECT_LT(result.refused, 0.5);
     EXPECT_LT(unlimited_result.refused,
-              result.refused); // only what misses its deadline
+              result.refused); // only missed deadlines
     EXPECT_LT(result.mean_wait_s, 2.0);
     EXPECT_GT(unlimited_result.mean_wait_s, result.mean_wait_s);
 }
