--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -10,9 +10,9 @@
 {
 constexpr std::int64_t percent = 100;
 constexpr std::int64_t micros_per_milli = 1'000;
-constexpr std::int64_t least_retry_ms = 1'000;
+constexpr std::int64_t min_retry_ms = 1'000;
 constexpr std::int64_t virtual_scale = 1'024;
-constexpr std::int64_t idle_slack_percent = 125; // of the idle time, for long prompts
+constexpr std::int64_t idle_time_percent = 125; // of the idle time, for long prompts
 } // namespace
 
 // 1. Judgement
@@ -24,9 +24,10 @@
     decision.input = input;
     auto const share =
         input.within_share ? options.bound_percent : options.excess_percent;
-    decision.bound_us = std::max(input.target_us * share / percent,
-                                 input.idle_us * idle_slack_percent / percent);
-    if (input.servable && input.predicted_us + input.waited_us <= decision.bound_us)
+    decision.max_predicted_us = std::max(input.target_us * share / percent,
+                                         input.idle_us * idle_time_percent / percent);
+    if (input.servable &&
+        input.predicted_us + input.waited_us <= decision.max_predicted_us)
     {
         decision.verdict = admission_verdict::dispatch;
         return decision;
@@ -37,9 +38,9 @@
         return decision;
     }
     decision.verdict = admission_verdict::refuse;
-    auto const excess = input.predicted_us - decision.bound_us;
+    auto const excess = input.predicted_us - decision.max_predicted_us;
     decision.retry_after_ms =
-        std::max<std::int64_t>(least_retry_ms, excess / micros_per_milli);
+        std::max<std::int64_t>(min_retry_ms, excess / micros_per_milli);
     return decision;
 }
 
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -41,8 +41,8 @@
 struct admission_decision
 {
     admission_verdict verdict{};
-    std::int64_t      bound_us = 0;       // the prediction had to stay below this
-    std::int64_t      retry_after_ms = 0; // with refuse: when it may be worth trying
+    std::int64_t      max_predicted_us = 0; // the prediction had to stay below this
+    std::int64_t      retry_after_ms = 0;   // with refuse: when it may be worth trying
     admission_input   input;
 
     bool operator==(admission_decision const&) const = default;
@@ -73,9 +73,9 @@
     std::size_t size() const noexcept;
 
 private:
-    using place = std::pair<std::int64_t, std::uint64_t>; // start, item
+    using queue_key = std::pair<std::int64_t, std::uint64_t>; // start, item
 
-    std::set<place>                       order_;
+    std::set<queue_key>                   order_;
     std::map<std::uint64_t, std::int64_t> start_of_;
     std::map<std::uint32_t, std::int64_t> finish_of_; // of each workspace's last item
     std::int64_t                          virtual_time_ = 0;
--- a/src/policy/crash_watch.cpp
+++ b/src/policy/crash_watch.cpp
@@ -7,64 +7,65 @@
 {
 
 crash_watch::crash_watch(crash_watch_options options)
-    : options_(options), list_(poison_options{.keep = options.keep})
+    : options_(options), poison_(poison_options{.keep = options.keep})
 {
 }
 
 bool crash_watch::note(crash_news const& crash, boot_clock::time_point now)
 {
-    auto const old = [&](auto const& entry)
+    auto const expired = [&](auto const& entry)
     {
         return now - entry.second > options_.keep;
     };
-    std::erase_if(last_, old);
-    std::erase_if(merged_, old);
-    auto const        name = crash.server + "/" + crash.call_id;
-    crash_place const place{crash.content, crash.server};
-    auto const        last = last_.find(place);
-    bool const same = last != last_.end() && now - last->second < options_.together;
-    if (merged_.count(name) > 0)
+    std::erase_if(last_crash_, expired);
+    std::erase_if(duplicates_, expired);
+    auto const       crash_id = crash.server + "/" + crash.call_id;
+    crash_site const site{crash.content, crash.server};
+    auto const       last = last_crash_.find(site);
+    bool const       same_crash =
+        last != last_crash_.end() && now - last->second < options_.merge_window;
+    if (duplicates_.count(crash_id) > 0)
     {
         return false;
     }
-    if (same)
+    if (same_crash)
     {
-        merged_.emplace(name, now);
+        duplicates_.emplace(crash_id, now);
         return false;
     }
-    if (!list_.note(crash.content, name, now))
+    if (!poison_.note(crash.content, crash_id, now))
     {
         return false;
     }
-    last_[place] = now;
+    last_crash_[site] = now;
     return true;
 }
 
 bool crash_watch::crashed(crash_news const& crash, boot_clock::time_point now)
 {
-    bool const fresh = note(crash, now);
-    if (fresh)
+    bool const is_new = note(crash, now);
+    if (is_new)
     {
-        told_.emplace_back(now, crash);
+        published_.emplace_back(now, crash);
     }
-    return fresh;
+    return is_new;
 }
 
-void crash_watch::untell(std::string const& content)
+void crash_watch::stop_publishing(std::string const& content)
 {
-    std::erase_if(told_, [&](auto const& entry)
+    std::erase_if(published_, [&](auto const& entry)
                   { return entry.second.content == content && !entry.second.cleared; });
 }
 
 void crash_watch::answered(std::string const& content, boot_clock::time_point now)
 {
-    if (list_.judge(content, now) != poison_verdict::suspect)
+    if (poison_.judge(content, now) != poison_verdict::suspect)
     {
         return;
     }
-    list_.clear(content);
-    untell(content);
-    told_.emplace_back(now, crash_news{.content = content, .cleared = true});
+    poison_.clear(content);
+    stop_publishing(content);
+    published_.emplace_back(now, crash_news{.content = content, .cleared = true});
 }
 
 void crash_watch::absorb(crash_news const& news, boot_clock::time_point now)
@@ -74,19 +75,20 @@
         note(news, now);
         return;
     }
-    list_.clear(news.content);
-    untell(news.content);
+    poison_.clear(news.content);
+    stop_publishing(news.content);
 }
 
 std::vector<crash_news> crash_watch::news(boot_clock::time_point now)
 {
-    while (!told_.empty() && (now - told_.front().first > options_.told ||
-                              told_.size() > options_.most_told))
+    while (!published_.empty() &&
+           (now - published_.front().first > options_.publish_for ||
+            published_.size() > options_.max_published))
     {
-        told_.pop_front();
+        published_.pop_front();
     }
     std::vector<crash_news> result;
-    for (auto const& [at, news] : told_)
+    for (auto const& [at, news] : published_)
     {
         result.push_back(news);
     }
@@ -95,7 +97,7 @@
 
 bool crash_watch::guilty(std::string const& content, boot_clock::time_point now) const
 {
-    return list_.judge(content, now) == poison_verdict::guilty;
+    return poison_.judge(content, now) == poison_verdict::guilty;
 }
 
 } // namespace marigoldcrank
--- a/src/policy/crash_watch.hpp
+++ b/src/policy/crash_watch.hpp
@@ -34,12 +34,14 @@
 
 struct crash_watch_options
 {
-    millis together{250}; // 250   ms; calls that end so close at one server are one crash
-    millis told{
+    millis merge_window{
+        250}; // 250   ms; calls that end so close at one server are one crash
+    millis publish_for{
         3000}; // 3000  ms; news is told in some twenty digests: a lost one is no loss
-    millis      keep{60000};    // 60000 ms; crashing requests come again within seconds
-    std::size_t most_told = 64; // 64  news in a digest; after a crowded server is lost
-                                //     most are of innocent calls
+    millis      keep{60000}; // 60000 ms; crashing requests come again within seconds
+    std::size_t max_published =
+        64; // 64  news in a digest; after a crowded server is lost
+            //     most are of innocent calls
 
     bool operator==(crash_watch_options const&) const = default;
 };
@@ -67,16 +69,16 @@
     bool guilty(std::string const& content, boot_clock::time_point now) const;
 
 private:
-    using crash_place = std::pair<std::string, std::string>; // content, server
+    using crash_site = std::pair<std::string, std::string>; // content, server
 
     bool note(crash_news const& crash, boot_clock::time_point now);
-    void untell(std::string const& content);
+    void stop_publishing(std::string const& content);
 
     crash_watch_options                           options_;
-    poison_list                                   list_;
-    std::map<crash_place, boot_clock::time_point> last_;   // crash that counted
-    std::map<std::string, boot_clock::time_point> merged_; // names that didn't
-    std::deque<std::pair<boot_clock::time_point, crash_news>> told_;
+    poison_list                                   poison_;
+    std::map<crash_site, boot_clock::time_point>  last_crash_; // crash that counted
+    std::map<std::string, boot_clock::time_point> duplicates_; // names that didn't
+    std::deque<std::pair<boot_clock::time_point, crash_news>> published_;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/engine_view.hpp
+++ b/src/policy/engine_view.hpp
@@ -45,9 +45,9 @@
     std::int64_t others_streams = 0;       // estimate for the other entry VMs
     std::int64_t queued_tokens = 0;        // estimate of all prompt tokens waiting there,
     std::int64_t queued_at_us = 0;         // as of this time; they drain from then on
-    std::int64_t noticed_streams = 0;      // streams that other entry VMs told of, ever
+    std::int64_t notified_streams = 0;     // streams that other entry VMs told of, ever
     std::int64_t slowdown = nominal_speed; // observed, in 256ths of the assumed time
-    std::int64_t preference_us = 0;        // rank in this entry VM's own order of engines
+    std::int64_t rank_cost_us = 0;         // rank in this entry VM's own order of engines
     std::int32_t failures = 0;             // failed attempts since the last good one
     bool         open = true;              // may get new work
     bool         cheap = false;
@@ -78,7 +78,7 @@
 struct work_sample
 {
     own_work     own;
-    std::int64_t noticed_streams = 0;
+    std::int64_t notified_streams = 0;
     std::int64_t waiting_tokens = 0;
 
     bool operator==(work_sample const&) const = default;
@@ -102,7 +102,7 @@
 struct aged_report
 {
     own_work     reported;
-    work_sample  then;       // when it was made
+    work_sample  estimated;  // when it was made
     std::int64_t age_ms = 0; // since then
 
     bool operator==(aged_report const&) const = default;
--- a/src/policy/fair_share.cpp
+++ b/src/policy/fair_share.cpp
@@ -73,9 +73,9 @@
 std::int64_t fair_share::read(window_sum const& sum, boot_clock::time_point now) const
 {
     auto const number = now.time_since_epoch() / window_;
-    auto const into =
+    auto const elapsed =
         std::chrono::duration_cast<millis>(now.time_since_epoch() % window_);
-    auto const left = window_ - into;
+    auto const left = window_ - elapsed;
     if (number == sum.number)
     {
         return sum.current + sum.previous * left.count() / window_.count();
@@ -97,7 +97,7 @@
 
 void fair_share::pressed(boot_clock::time_point now)
 {
-    pressed_until_ = now + window_;
+    overloaded_until_ = now + window_;
 }
 
 std::vector<share_use> fair_share::digest(boot_clock::time_point now,
@@ -129,30 +129,30 @@
 
 void fair_share::hear(std::uint32_t peer, std::vector<share_use> uses)
 {
-    if (peer >= heard_.size())
+    if (peer >= peer_digests_.size())
     {
-        heard_.resize(peer + 1);
+        peer_digests_.resize(peer + 1);
     }
-    heard_[peer] = std::move(uses);
+    peer_digests_[peer] = std::move(uses);
 }
 
 void fair_share::refresh(boot_clock::time_point now)
 {
     for (auto& use : workspaces_)
     {
-        use.others_offered = 0;
-        use.others_charged = 0;
+        use.peers_offered = 0;
+        use.peers_charged = 0;
     }
-    for (auto const& peer : heard_)
+    for (auto const& peer : peer_digests_)
     {
         for (auto const& each : peer)
         {
-            use_of(each.workspace).others_offered += each.offered;
-            use_of(each.workspace).others_charged += each.charged;
+            use_of(each.workspace).peers_offered += each.offered;
+            use_of(each.workspace).peers_charged += each.charged;
         }
     }
     level_ = no_level;
-    if (now >= pressed_until_)
+    if (now >= overloaded_until_)
     {
         return;
     }
@@ -160,11 +160,11 @@
     std::int64_t              admitted = 0;
     for (auto const& use : workspaces_)
     {
-        auto const offered = read(use.offered, now) + use.others_offered;
+        auto const offered = read(use.offered, now) + use.peers_offered;
         if (offered > 0)
         {
             demands.push_back({use.weight, offered});
-            admitted += read(use.charged, now) + use.others_charged;
+            admitted += read(use.charged, now) + use.peers_charged;
         }
     }
     level_ = fair_level(std::move(demands), admitted);
@@ -177,7 +177,7 @@
         return true;
     }
     auto const& use = workspaces_[workspace];
-    return read(use.charged, now) + use.others_charged <= level_ * use.weight;
+    return read(use.charged, now) + use.peers_charged <= level_ * use.weight;
 }
 
 std::int64_t fair_share::level() const noexcept
--- a/src/policy/fair_share.hpp
+++ b/src/policy/fair_share.hpp
@@ -87,8 +87,8 @@
         std::int64_t weight = 1;
         window_sum   offered;
         window_sum   charged;
-        std::int64_t others_offered = 0; // as last heard
-        std::int64_t others_charged = 0;
+        std::int64_t peers_offered = 0; // as last heard
+        std::int64_t peers_charged = 0;
     };
 
     void add(window_sum& sum, std::int64_t tokens, boot_clock::time_point now) const;
@@ -97,8 +97,8 @@
 
     millis                              window_;
     std::vector<workspace_use>          workspaces_;
-    std::vector<std::vector<share_use>> heard_; // by peer
-    boot_clock::time_point              pressed_until_{};
+    std::vector<std::vector<share_use>> peer_digests_; // by peer
+    boot_clock::time_point              overloaded_until_{};
     std::int64_t                        level_ = no_level;
 };
 
--- a/src/policy/pause_watch.hpp
+++ b/src/policy/pause_watch.hpp
@@ -26,8 +26,8 @@
     double step = 0.03;
     // 0.7 and 0.85  of the promised pause; below the first, streams bear any reading,
     //               above the second only the least
-    double bears_all = 0.7;
-    double bears_least = 0.85;
+    double full_below = 0.7;
+    double min_above = 0.85;
     // 1500 and 30000  tokens that may wait at an engine that decodes
     std::int64_t least = 1500;
     std::int64_t most = 30000;
@@ -40,33 +40,33 @@
 {
 public:
     explicit pause_watch(pause_watch_options options = {})
-        : options_(options), share_((options.bears_all + options.bears_least) / 2)
+        : options_(options), pause_ratio_((options.full_below + options.min_above) / 2)
     {
     }
 
     /// A stream of so many events has ended whole.
     void ended(std::int64_t events, boot_clock::duration longest_pause, millis promised)
     {
-        if (events < least_events || promised.count() <= 0)
+        if (events < min_events || promised.count() <= 0)
         {
             return;
         }
-        constexpr double most_share = 2; // a lost engine says nothing about reading
+        constexpr double max_ratio = 2; // a lost engine says nothing about reading
         auto const       share = std::min(std::chrono::duration<double>(longest_pause) /
                                               std::chrono::duration<double>(promised),
-                                          most_share);
-        share_ +=
-            options_.step * (share > share_ ? options_.quantile : options_.quantile - 1);
-        share_ = std::clamp(share_, 0.0, most_share);
+                                          max_ratio);
+        pause_ratio_ += options_.step * (share > pause_ratio_ ? options_.quantile
+                                                              : options_.quantile - 1);
+        pause_ratio_ = std::clamp(pause_ratio_, 0.0, max_ratio);
     }
 
     /// Tokens that may wait to be read at an engine that decodes. `adapts` off: the
     /// least.
     std::int64_t beside_streams(bool adapts) const
     {
-        auto const room =
-            (options_.bears_least - share_) / (options_.bears_least - options_.bears_all);
-        auto const share = adapts ? std::clamp(room, 0.0, 1.0) : 0.0;
+        auto const headroom = (options_.min_above - pause_ratio_) /
+                              (options_.min_above - options_.full_below);
+        auto const share = adapts ? std::clamp(headroom, 0.0, 1.0) : 0.0;
         return options_.least +
                static_cast<std::int64_t>(
                    share * static_cast<double>(options_.most - options_.least));
@@ -81,14 +81,14 @@
     /// Longest pause of most streams, as a share of the promised one.
     double share() const noexcept
     {
-        return share_;
+        return pause_ratio_;
     }
 
 private:
-    static constexpr std::int64_t least_events = 3; // fewer show no pause
+    static constexpr std::int64_t min_events = 3; // fewer show no pause
 
     pause_watch_options options_;
-    double              share_;
+    double              pause_ratio_;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -19,7 +19,7 @@
 constexpr double suspect_cost = 1e9; // above any real cost: only if nothing else is there
 
 /// Rendezvous: every VM ranks the engines for a prompt part alike, without talking.
-std::uint64_t rank_of(std::string_view part, std::string const& id)
+std::uint64_t rendezvous_rank(std::string_view part, std::string const& id)
 {
     return XXH3_64bits_withSeed(id.data(), id.size(),
                                 XXH3_64bits(part.data(), part.size()));
@@ -34,7 +34,7 @@
     for (auto const& each : candidates)
     {
         bool const fits = (each.server->role == engine_role::prefill) == prefill;
-        auto const rank = rank_of(part, each.server->id);
+        auto const rank = rendezvous_rank(part, each.server->id);
         if (fits && !each.suspect && (best == nullptr || rank > best_rank))
         {
             best = each.server;
@@ -45,7 +45,7 @@
 }
 
 /// From 0 to 1; the same for a call and an engine however often it is asked for.
-double chance_of(std::uint64_t ticket, std::string const& id)
+double hash_fraction(std::uint64_t ticket, std::string const& id)
 {
     constexpr double most = 18446744073709551615.0; // of 64 bits
     return static_cast<double>(XXH3_64bits_withSeed(id.data(), id.size(), ticket)) / most;
@@ -83,16 +83,17 @@
 backend_server const* place_plain(std::vector<candidate> const& candidates,
                                   std::string const& data_centre, std::uint64_t ticket)
 {
-    constexpr double other_centre =
+    constexpr double remote_penalty =
         1.5; // calls in work that a way to another one is worth
-    auto const best =
-        cheapest(candidates, ticket,
-                 [&](candidate const& each)
-                 {
-                     bool const near = each.server->data_centre == data_centre;
-                     return static_cast<double>(each.load.running) +
-                            (near ? 0 : other_centre) + (each.suspect ? suspect_cost : 0);
-                 });
+    auto const best = cheapest(candidates, ticket,
+                               [&](candidate const& each)
+                               {
+                                   bool const near =
+                                       each.server->data_centre == data_centre;
+                                   return static_cast<double>(each.load.running) +
+                                          (near ? 0 : remote_penalty) +
+                                          (each.suspect ? suspect_cost : 0);
+                               });
     return best.chosen == nullptr ? nullptr : best.chosen->server;
 }
 
@@ -103,157 +104,166 @@
 
 // ms; above any real wait, so that an engine that wasn't drawn is taken only if no other
 //     one is sound
-constexpr double undrawn = 1e6;
-constexpr double unfit = std::numeric_limits<double>::infinity();
+constexpr double unsampled_cost = 1e6;
+constexpr double infeasible_cost = std::numeric_limits<double>::infinity();
 
-bool reads_only(candidate const& each)
+bool is_prefill_engine(candidate const& each)
 {
     return each.server->role == engine_role::prefill;
 }
 
 /// Ways of having one prompt read.
-class reading_costs
+class prefill_costs
 {
 public:
-    reading_costs(std::vector<candidate> const& candidates, caller_call const& call,
+    prefill_costs(std::vector<candidate> const& candidates, caller_call const& call,
                   engine_costs const& engines, std::string const& data_centre,
                   std::uint64_t ticket, placement_options const& options)
-        : engines_(engines), data_centre_(data_centre), ticket_(ticket),
-          options_(options), own_(call.own_tokens()),
-          shared_(call.prompt_tokens() - call.own_tokens())
+        : costs_(engines), data_centre_(data_centre), ticket_(ticket), options_(options),
+          own_tokens_(call.own_tokens()),
+          shared_tokens_(call.prompt_tokens() - call.own_tokens())
     {
         for (auto const& each : candidates)
         {
-            some_read_only_ = some_read_only_ || (reads_only(each) && !each.suspect);
-            readers_ += reads_only(each) && !each.suspect ? 1 : 0;
-            decoders_ += !reads_only(each) && !each.suspect ? 1 : 0;
-            known_ = known_ || each.kept > 0;
-            bool const better = holder_ == nullptr || each.ready > holder_->ready;
+            has_prefill_engine_ =
+                has_prefill_engine_ || (is_prefill_engine(each) && !each.suspect);
+            prefill_engines_ += is_prefill_engine(each) && !each.suspect ? 1 : 0;
+            decode_engines_ += !is_prefill_engine(each) && !each.suspect ? 1 : 0;
+            cached_anywhere_ = cached_anywhere_ || each.kept > 0;
+            bool const better = best_cache_ == nullptr || each.ready > best_cache_->ready;
             if (!each.suspect && each.ready > 0 && better)
             {
-                holder_ = &each;
+                best_cache_ = &each;
             }
         }
-        if (!known_ && !call.shared_part().empty())
+        if (!cached_anywhere_ && !call.shared_part().empty())
         {
-            prefill_home_ = rendezvous_engine(candidates, call.shared_part(), true);
-            decode_home_ = rendezvous_engine(candidates, call.shared_part(), false);
+            prefill_rendezvous_ = rendezvous_engine(candidates, call.shared_part(), true);
+            decode_rendezvous_ = rendezvous_engine(candidates, call.shared_part(), false);
         }
     }
 
     /// How the prompt would be read at `each`.
-    placement at(candidate const& each) const
+    placement plan_at(candidate const& each) const
     {
         placement  result{.server = each.server,
-                          .prefill_only = reads_only(each),
-                          .unread = own_ + shared_ - each.kept,
-                          .wait_ms = waiting(each)};
-        auto const read_own = reading(each, own_);
-        auto const read_rest = reading(each, shared_ - each.kept);
+                          .prefill_only = is_prefill_engine(each),
+                          .unread = own_tokens_ + shared_tokens_ - each.kept,
+                          .wait_ms = queue_time(each)};
+        auto const prefill_own = prefill_time(each, own_tokens_);
+        auto const prefill_rest = prefill_time(each, shared_tokens_ - each.kept);
         auto const fetched = fetchable(each);
-        auto const fetch =
-            fetching(each, fetched) + reading(each, shared_ - each.kept - fetched);
-        result.read_ms = fixed(each) + read_own + read_rest;
-        if (fetched > 0 && fetch < read_rest)
+        auto const fetch = fetch_time(each, fetched) +
+                           prefill_time(each, shared_tokens_ - each.kept - fetched);
+        result.read_ms = fixed_time(each) + prefill_own + prefill_rest;
+        if (fetched > 0 && fetch < prefill_rest)
         {
-            result.fetch_from = holder_->server;
+            result.fetch_from = best_cache_->server;
             result.unread -= fetched;
-            result.read_ms = fixed(each) + read_own + fetch;
+            result.read_ms = fixed_time(each) + prefill_own + fetch;
         }
         return result;
     }
 
     /// What a placement costs: its time, and what it takes from others.
-    double of(candidate const& each, placement const& placed) const
+    double total_cost(candidate const& each, placement const& placed) const
     {
-        auto const shared = placed.read_ms - fixed(each) - reading(each, own_);
-        bool const home =
-            each.server == (reads_only(each) ? prefill_home_ : decode_home_);
-        auto const discount = home ? options_.home * reading(each, shared_) : 0.0;
-        return placed.wait_ms + placed.read_ms + (options_.read_again - 1) * shared -
-               discount + distance(each) + spread(each) + (drawn(each) ? 0.0 : undrawn);
+        auto const shared =
+            placed.read_ms - fixed_time(each) - prefill_time(each, own_tokens_);
+        bool const home = each.server == (is_prefill_engine(each) ? prefill_rendezvous_
+                                                                  : decode_rendezvous_);
+        auto const discount =
+            home ? options_.home * prefill_time(each, shared_tokens_) : 0.0;
+        return placed.wait_ms + placed.read_ms +
+               (options_.recompute_weight - 1) * shared - discount + distance_cost(each) +
+               spread(each) + (is_sampled(each) ? 0.0 : unsampled_cost);
     }
 
     /// Whether an engine that decodes may read the prompt beside its streams.
-    bool may_read(candidate const& each, placement const& placed) const
+    bool may_prefill(candidate const& each, placement const& placed) const
     {
-        return !reads_only(each) &&
-               (!some_read_only_ ||
-                each.load.unread + placed.unread <= engines_.beside_streams);
+        return !is_prefill_engine(each) &&
+               (!has_prefill_engine_ ||
+                each.load.unread + placed.unread <= costs_.beside_streams);
     }
 
-    double waiting(candidate const& each) const
+    double queue_time(candidate const& each) const
     {
-        return reading(each, each.load.unread) +
-               static_cast<double>(each.load.running) * options_.stream_ms;
+        return prefill_time(each, each.load.unread) +
+               static_cast<double>(each.load.running) * options_.stream_slowdown_ms;
     }
 
-    double distance(candidate const& each) const
+    double distance_cost(candidate const& each) const
     {
         bool const near = each.server->data_centre == data_centre_;
-        return (near ? 0.0 : options_.distance_ms) + (each.suspect ? suspect_cost : 0.0);
+        return (near ? 0.0 : options_.remote_cost_ms) +
+               (each.suspect ? suspect_cost : 0.0);
     }
 
     /// Whether the call may go there: to an engine that keeps its prompt, or should, or
     /// was drawn.
-    bool drawn(candidate const& each) const
+    bool is_sampled(candidate const& each) const
     {
-        auto const role = reads_only(each) ? readers_ : decoders_;
-        bool const few = engines_.choices <= 0 || role <= engines_.choices;
-        bool const home = each.server == prefill_home_ || each.server == decode_home_;
+        auto const role = is_prefill_engine(each) ? prefill_engines_ : decode_engines_;
+        bool const few = costs_.choices <= 0 || role <= costs_.choices;
+        bool const home =
+            each.server == prefill_rendezvous_ || each.server == decode_rendezvous_;
         return few || home || each.kept > 0 ||
-               chance_of(~ticket_, each.server->id) * static_cast<double>(role) <
-                   static_cast<double>(engines_.choices);
+               hash_fraction(~ticket_, each.server->id) * static_cast<double>(role) <
+                   static_cast<double>(costs_.choices);
     }
 
     double spread(candidate const& each) const
     {
-        auto const most = options_.spread * engines_.unheard_ms;
-        return most <= 0 ? 0.0 : most * chance_of(ticket_, each.server->id);
+        auto const most = options_.spread * costs_.unheard_ms;
+        return most <= 0 ? 0.0 : most * hash_fraction(ticket_, each.server->id);
     }
 
 private:
-    double reading(candidate const& each, std::int64_t tokens) const
+    double prefill_time(candidate const& each, std::int64_t tokens) const
     {
-        auto const speed = reads_only(each) ? engines_.read_speed : engines_.beside_speed;
+        auto const speed =
+            is_prefill_engine(each) ? costs_.read_speed : costs_.beside_speed;
         return static_cast<double>(tokens) / speed;
     }
 
-    double fixed(candidate const& each) const
+    double fixed_time(candidate const& each) const
     {
-        return reads_only(each) ? engines_.read_fixed_ms : engines_.beside_fixed_ms;
+        return is_prefill_engine(each) ? costs_.read_fixed_ms : costs_.beside_fixed_ms;
     }
 
     /// Tokens that the engine could fetch from the one that keeps most of the prompt.
     std::int64_t fetchable(candidate const& each) const
     {
-        bool const other = options_.fetch && holder_ != nullptr && &each != holder_;
-        auto const tokens = other ? holder_->ready - each.kept : 0;
-        return tokens >= options_.fetch_least ? tokens : 0;
+        bool const other =
+            options_.fetch && best_cache_ != nullptr && &each != best_cache_;
+        auto const tokens = other ? best_cache_->ready - each.kept : 0;
+        return tokens >= options_.min_fetch_tokens ? tokens : 0;
     }
 
-    double fetching(candidate const& each, std::int64_t tokens) const
+    double fetch_time(candidate const& each, std::int64_t tokens) const
     {
-        constexpr double far = 2; // times as long between data centres
-        bool const       near = holder_ == nullptr ||
-                          each.server->data_centre == holder_->server->data_centre;
-        return options_.fetch_setup_ms +
-               static_cast<double>(tokens) / options_.fetch_speed * (near ? 1.0 : far);
+        constexpr double remote_factor = 2; // times as long between data centres
+        bool const       near = best_cache_ == nullptr ||
+                          each.server->data_centre == best_cache_->server->data_centre;
+        return options_.fetch_setup_ms + static_cast<double>(tokens) /
+                                             options_.fetch_speed *
+                                             (near ? 1.0 : remote_factor);
     }
 
-    engine_costs const&      engines_;
+    engine_costs const&      costs_;
     std::string const&       data_centre_;
     std::uint64_t            ticket_;
     placement_options const& options_;
-    std::int64_t             own_;
-    std::int64_t             shared_;
-    bool                     some_read_only_ = false;
-    std::int64_t             readers_ = 0;      // engines that read only
-    std::int64_t             decoders_ = 0;     // the others
-    bool                     known_ = false;    // some engine keeps a part of the prompt
-    candidate const*         holder_ = nullptr; // has read most of the prompt
-    backend_server const*    prefill_home_ = nullptr;
-    backend_server const*    decode_home_ = nullptr;
+    std::int64_t             own_tokens_;
+    std::int64_t             shared_tokens_;
+    bool                     has_prefill_engine_ = false;
+    std::int64_t             prefill_engines_ = 0; // engines that read only
+    std::int64_t             decode_engines_ = 0;  // the others
+    bool             cached_anywhere_ = false; // some engine keeps a part of the prompt
+    candidate const* best_cache_ = nullptr;    // has read most of the prompt
+    backend_server const* prefill_rendezvous_ = nullptr;
+    backend_server const* decode_rendezvous_ = nullptr;
 };
 
 } // namespace
@@ -263,30 +273,39 @@
                                      std::string const& data_centre, std::uint64_t ticket,
                                      placement_options const& options)
 {
-    reading_costs const    ways{candidates, call, costs, data_centre, ticket, options};
+    prefill_costs const estimates{candidates, call, costs, data_centre, ticket, options};
     std::vector<placement> placed(candidates.size());
     std::transform(candidates.begin(), candidates.end(), placed.begin(),
-                   [&](candidate const& each) { return ways.at(each); });
-    auto const way = [&](candidate const& each) -> placement const&
+                   [&](candidate const& each) { return estimates.plan_at(each); });
+    auto const plan_of = [&](candidate const& each) -> placement const&
     {
         return placed[static_cast<std::size_t>(&each - candidates.data())];
     };
-    auto const whole = cheapest(
-        candidates, ticket,
-        [&](candidate const& each)
-        { return ways.may_read(each, way(each)) ? ways.of(each, way(each)) : unfit; });
-    auto const apart =
+    auto const colocated =
         cheapest(candidates, ticket,
                  [&](candidate const& each)
-                 { return reads_only(each) ? ways.of(each, way(each)) : unfit; });
-    if (whole.chosen == nullptr && apart.chosen == nullptr)
+                 {
+                     return estimates.may_prefill(each, plan_of(each))
+                                ? estimates.total_cost(each, plan_of(each))
+                                : infeasible_cost;
+                 });
+    auto const handed_off =
+        cheapest(candidates, ticket,
+                 [&](candidate const& each)
+                 {
+                     return is_prefill_engine(each)
+                                ? estimates.total_cost(each, plan_of(each))
+                                : infeasible_cost;
+                 });
+    if (colocated.chosen == nullptr && handed_off.chosen == nullptr)
     {
         return std::nullopt;
     }
-    bool const sooner =
+    bool const use_handoff =
         options.handover && call.own_tokens() >= options.handover_least &&
-        apart.cost + costs.handover_ms + options.handover_cost_ms < whole.cost;
-    return way(whole.chosen == nullptr || sooner ? *apart.chosen : *whole.chosen);
+        handed_off.cost + costs.handover_ms + options.handoff_cost_ms < colocated.cost;
+    return plan_of(colocated.chosen == nullptr || use_handoff ? *handed_off.chosen
+                                                              : *colocated.chosen);
 }
 
 backend_server const* place_decode(std::vector<candidate> const& candidates,
@@ -294,15 +313,16 @@
                                    std::string const& data_centre, std::uint64_t ticket,
                                    placement_options const& options)
 {
-    reading_costs const ways{candidates,  caller_call{}, costs,
-                             data_centre, ticket,        options};
+    prefill_costs const estimates{candidates,  caller_call{}, costs,
+                                  data_centre, ticket,        options};
     auto const          best = cheapest(candidates, ticket,
                                         [&](candidate const& each)
                                         {
-                                   return reads_only(each)
-                                                       ? unfit
-                                                       : ways.waiting(each) + ways.distance(each) +
-                                                    ways.spread(each);
+                                   return is_prefill_engine(each)
+                                                       ? infeasible_cost
+                                                       : estimates.queue_time(each) +
+                                                    estimates.distance_cost(each) +
+                                                    estimates.spread(each);
                                });
     return best.chosen == nullptr ? nullptr : best.chosen->server;
 }
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -54,7 +54,7 @@
 {
     // 2     times its time, the weight of reading a shared part that an engine keeps: the
     //       time is taken from all who wait for an engine
-    double read_again = 2;
+    double recompute_weight = 2;
     // 0.5   of the time of reading the shared parts; a call for parts that no engine
     //       keeps goes to their home while others would read them sooner by less
     double home = 0.5;
@@ -62,13 +62,13 @@
     std::int64_t handover_least = 300;
     // 15    ms; what handing a prompt over is worth besides its time: bytes moved, and a
     //       place at a second engine
-    double handover_cost_ms = 15;
+    double handoff_cost_ms = 15;
     // 1     ms; a running stream slows an engine's reading by so much
-    double stream_ms = 1;
+    double stream_slowdown_ms = 1;
     // 2     ms; what a way between data centres costs in time and bytes
-    double distance_ms = 2;
+    double remote_cost_ms = 2;
     // 1000  tokens; fewer cached ones aren't worth a transfer between engines
-    std::int64_t fetch_least = 1000;
+    std::int64_t min_fetch_tokens = 1000;
     // 10    ms to begin a transfer, and tokens a ms of its way between engines
     double fetch_setup_ms = 10;
     double fetch_speed = 500;
--- a/src/policy/poison_list.hpp
+++ b/src/policy/poison_list.hpp
@@ -56,7 +56,8 @@
     {
         expire(now);
         auto& entry = entries_[content];
-        if (entry.crashes.size() >= crashes_kept || !entry.crashes.insert(crash).second)
+        if (entry.crashes.size() >= blocking_crashes ||
+            !entry.crashes.insert(crash).second)
         {
             return false;
         }
@@ -64,7 +65,7 @@
         entry.excused = false;
         if (entries_.size() > options_.capacity)
         {
-            forget_oldest();
+            evict_oldest();
         }
         return true;
     }
@@ -74,7 +75,7 @@
     void excuse(std::string const& content)
     {
         auto const found = entries_.find(content);
-        if (found != entries_.end() && found->second.crashes.size() < crashes_kept)
+        if (found != entries_.end() && found->second.crashes.size() < blocking_crashes)
         {
             found->second.excused = true;
         }
@@ -94,7 +95,7 @@
     void clear(std::string const& content)
     {
         auto const found = entries_.find(content);
-        if (found != entries_.end() && found->second.crashes.size() < crashes_kept)
+        if (found != entries_.end() && found->second.crashes.size() < blocking_crashes)
         {
             entries_.erase(found);
         }
@@ -107,7 +108,7 @@
         {
             return poison_verdict::innocent;
         }
-        if (found->second.crashes.size() >= crashes_kept)
+        if (found->second.crashes.size() >= blocking_crashes)
         {
             return poison_verdict::guilty;
         }
@@ -122,7 +123,7 @@
     bool operator==(poison_list const&) const = default;
 
 private:
-    static constexpr std::size_t crashes_kept = 2; // as many as make it guilty
+    static constexpr std::size_t blocking_crashes = 2; // as many as make it guilty
 
     void expire(boot_clock::time_point now)
     {
@@ -130,7 +131,7 @@
                       { return now - each.second.last >= options_.keep; });
     }
 
-    void forget_oldest()
+    void evict_oldest()
     {
         auto oldest = entries_.begin();
         for (auto each = entries_.begin(); each != entries_.end(); ++each)
--- a/src/policy/progress_tracker.cpp
+++ b/src/policy/progress_tracker.cpp
@@ -10,11 +10,11 @@
 
 namespace
 {
-constexpr std::int64_t memory = 8; // observations that an average spans
-constexpr std::int64_t highest_ratio = 64 * engine_view::nominal_speed;
+constexpr std::int64_t averaged_observations = 8; // observations that an average spans
+constexpr std::int64_t max_ratio = 64 * engine_view::nominal_speed;
 constexpr std::int64_t percent = 100;
-constexpr millis       retry_after{5'000}; // without observation: the factor halves
-constexpr std::size_t  fewest_engines = 3; // below, a median says nothing
+constexpr millis       halving_interval{5'000}; // without observation: the factor halves
+constexpr std::size_t  min_engines = 3;         // below, a median says nothing
 } // namespace
 
 progress_tracker::progress_tracker(route_options options) : options_(options) {}
@@ -29,8 +29,9 @@
     auto&      own = engines_[engine];
     auto const ratio = std::clamp<std::int64_t>(
         elapsed_us * engine_view::nominal_speed / std::max<std::int64_t>(1, expected_us),
-        1, highest_ratio);
-    own.ratio = own.ratio == 0 ? ratio : own.ratio + (ratio - own.ratio) / memory;
+        1, max_ratio);
+    own.ratio =
+        own.ratio == 0 ? ratio : own.ratio + (ratio - own.ratio) / averaged_observations;
     own.observed = now;
 }
 
@@ -45,7 +46,7 @@
         }
     }
     median_ = 0;
-    if (ratios.size() >= fewest_engines)
+    if (ratios.size() >= min_engines)
     {
         auto const middle =
             ratios.begin() + static_cast<std::ptrdiff_t>(ratios.size() / 2);
@@ -63,7 +64,7 @@
     }
     auto const& own = engines_[engine];
     auto const  halvings =
-        std::clamp<std::int64_t>((now - own.observed) / retry_after, 0, 30);
+        std::clamp<std::int64_t>((now - own.observed) / halving_interval, 0, 30);
     auto const relative = (own.ratio * engine_view::nominal_speed / median_) >> halvings;
     bool const slow =
         relative * percent > options_.slow_percent * engine_view::nominal_speed;
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -25,7 +25,7 @@
 {
 public:
     explicit retry_budget(retry_budget_options options)
-        : options_(options), hundredths_(options.burst * per_retry)
+        : options_(options), hundredths_(options.burst * units_per_retry)
     {
     }
 
@@ -33,30 +33,30 @@
     void limit(retry_budget_options options) noexcept
     {
         options_ = options;
-        hundredths_ = std::min(hundredths_, options_.burst * per_retry);
+        hundredths_ = std::min(hundredths_, options_.burst * units_per_retry);
     }
 
     void admit() noexcept
     {
         hundredths_ =
-            std::min(hundredths_ + options_.percent, options_.burst * per_retry);
+            std::min(hundredths_ + options_.percent, options_.burst * units_per_retry);
     }
 
     /// True if one more retry fits in; it is then counted.
     bool take() noexcept
     {
-        if (hundredths_ < per_retry)
+        if (hundredths_ < units_per_retry)
         {
             return false;
         }
-        hundredths_ -= per_retry;
+        hundredths_ -= units_per_retry;
         return true;
     }
 
     bool operator==(retry_budget const&) const = default;
 
 private:
-    static constexpr std::int64_t per_retry = 100;
+    static constexpr std::int64_t units_per_retry = 100;
 
     retry_budget_options options_;
     std::int64_t         hundredths_; // of a retry
--- a/src/policy/retry_gate.hpp
+++ b/src/policy/retry_gate.hpp
@@ -17,48 +17,48 @@
 
 struct retry_gate_options
 {
-    millis first{500}; // 500   ms; after the first failure
-    millis longest{
+    millis initial_pause{500}; // 500   ms; after the first failure
+    millis max_pause{
         2000}; // 2000  ms; a VM is back that long after the outage at the latest
 
     bool operator==(retry_gate_options const&) const = default;
 };
 
 /// For calls that other VMs make too, and tell this one of.
-constexpr retry_gate_options patient_retries{.first = millis{1000},
-                                             .longest = millis{8000}};
+constexpr retry_gate_options patient_retries{.initial_pause = millis{1000},
+                                             .max_pause = millis{8000}};
 
 /// Pure; time is passed in.
 class retry_gate
 {
 public:
     explicit retry_gate(retry_gate_options options = {})
-        : options_(options), pause_(options.first)
+        : options_(options), pause_(options.initial_pause)
     {
     }
 
     bool open(boot_clock::time_point now) const noexcept
     {
-        return now >= until_;
+        return now >= closed_until_;
     }
 
     /// Takes over other pauses, from the next failure on.
     void limit(retry_gate_options const& options) noexcept
     {
         options_ = options;
-        pause_ = std::clamp(pause_, options.first, options.longest);
+        pause_ = std::clamp(pause_, options.initial_pause, options.max_pause);
     }
 
     void failed(boot_clock::time_point now)
     {
-        until_ = now + pause_;
-        pause_ = std::min(pause_ * 2, options_.longest);
+        closed_until_ = now + pause_;
+        pause_ = std::min(pause_ * 2, options_.max_pause);
     }
 
     void succeeded()
     {
-        until_ = {};
-        pause_ = options_.first;
+        closed_until_ = {};
+        pause_ = options_.initial_pause;
     }
 
     /// Whether a VM that asks relays has to wait before it reads the store in their
@@ -73,7 +73,7 @@
 private:
     retry_gate_options     options_;
     millis                 pause_;
-    boot_clock::time_point until_{};
+    boot_clock::time_point closed_until_{};
 };
 
 } // namespace marigoldcrank
--- a/src/policy/route.cpp
+++ b/src/policy/route.cpp
@@ -13,7 +13,7 @@
 {
 constexpr std::int64_t percent = 100;
 constexpr std::int64_t half = 2;
-constexpr std::int64_t most_missed = 5; // more missed reports tell nothing more
+constexpr std::int64_t max_counted_misses = 5; // more missed reports tell nothing more
 constexpr int          fraction_bits = engine_speed::fraction_bits;
 
 bool is_excluded(std::span<std::uint32_t const> excluded, std::uint32_t engine)
@@ -32,9 +32,9 @@
     return !(long_prompt && view.use == engine_use::decode);
 }
 
-/// The cost by which engines are compared: total_us and harm_us of the reason, but for
-/// rounding. Shifts instead of divisions, and nothing that only the winner needs: a scan
-/// of 475 engines has 5 microseconds.
+/// The cost by which engines are compared: total_us and extra_cost_us of the reason, but
+/// for rounding. Shifts instead of divisions, and nothing that only the winner needs: a
+/// scan of 475 engines has 5 microseconds.
 class cost_model
 {
 public:
@@ -42,36 +42,39 @@
                route_options const& options)
         : request_(request), speed_(speed), options_(options),
           chunk_reciprocal_((std::int64_t{1} << fraction_bits) / speed.chunk_tokens),
-          harm_fraction_((options.interference_percent << fraction_bits) / percent)
+          interference_fraction_((options.interference_percent << fraction_bits) /
+                                 percent)
     {
     }
 
     std::int64_t operator()(engine_view const& view, std::int64_t hit_tokens) const
     {
-        auto const fresh = fresh_tokens(hit_tokens);
+        auto const uncached = uncached_tokens(hit_tokens);
         auto const streams = view.streams();
-        auto const tokens = view.waiting_tokens(request_.now_us, speed_) + fresh;
+        auto const tokens = view.waiting_tokens(request_.now_us, speed_) + uncached;
         auto const step = speed_.step_us + speed_.stream_us * streams;
-        auto const over = std::max<std::int64_t>(0, streams + 1 - speed_.batch);
-        auto const work =
-            tokens * speed_.prefill_us + steps_us(tokens, step) + over * options_.turn_us;
-        return (work * view.slowdown >> speed_bits) + penalty_us(view) +
-               harm_us(view, fresh);
+        auto const excess_streams = std::max<std::int64_t>(0, streams + 1 - speed_.batch);
+        auto const work = tokens * speed_.prefill_us + steps_us(tokens, step) +
+                          excess_streams * options_.turn_us;
+        return (work * view.slowdown >> speed_bits) + distance_us(view) +
+               extra_cost_us(view, uncached);
     }
 
     route_reason reason(engine_view const& view, std::int64_t hit_tokens) const
     {
-        auto const   fresh = fresh_tokens(hit_tokens);
-        auto const   tokens = view.waiting_tokens(request_.now_us, speed_) + fresh;
-        auto const   step = speed_.step_us + speed_.stream_us * view.streams();
-        auto const   over = std::max<std::int64_t>(0, view.streams() + 1 - speed_.batch);
+        auto const uncached = uncached_tokens(hit_tokens);
+        auto const tokens = view.waiting_tokens(request_.now_us, speed_) + uncached;
+        auto const step = speed_.step_us + speed_.stream_us * view.streams();
+        auto const excess_streams =
+            std::max<std::int64_t>(0, view.streams() + 1 - speed_.batch);
         route_reason result;
         result.prefill_us = tokens * speed_.prefill_us * view.slowdown >> speed_bits;
         result.steps_us = steps_us(tokens, step) * view.slowdown >> speed_bits;
-        result.place_us = over * options_.turn_us * view.slowdown >> speed_bits;
-        result.penalty_us = penalty_us(view);
+        result.slot_wait_us =
+            excess_streams * options_.turn_us * view.slowdown >> speed_bits;
+        result.distance_us = distance_us(view);
         result.hit_tokens = hit_tokens;
-        result.harm_us = harm_us(view, fresh);
+        result.extra_cost_us = extra_cost_us(view, uncached);
         result.slowdown = view.slowdown;
         return result;
     }
@@ -79,7 +82,7 @@
 private:
     static constexpr int speed_bits = 8; // of engine_view::nominal_speed
 
-    std::int64_t fresh_tokens(std::int64_t hit_tokens) const
+    std::int64_t uncached_tokens(std::int64_t hit_tokens) const
     {
         return std::max<std::int64_t>(1, request_.prompt_tokens - hit_tokens);
     }
@@ -89,44 +92,44 @@
         return step / half + (tokens * chunk_reciprocal_ * step >> fraction_bits);
     }
 
-    std::int64_t penalty_us(engine_view const& view) const
+    std::int64_t distance_us(engine_view const& view) const
     {
         return view.remote ? options_.remote_us : 0;
     }
 
-    std::int64_t harm_us(engine_view const& view, std::int64_t fresh) const
+    std::int64_t extra_cost_us(engine_view const& view, std::int64_t uncached) const
     {
-        auto const streams_lose =
-            (fresh * speed_.prefill_us * view.streams() * harm_fraction_) >>
+        auto const interference_us =
+            (uncached * speed_.prefill_us * view.streams() * interference_fraction_) >>
             fraction_bits;
-        return view.preference_us + view.failures * options_.failure_us + streams_lose;
+        return view.rank_cost_us + view.failures * options_.failure_us + interference_us;
     }
 
     engine_request const& request_;
     engine_speed const&   speed_;
     route_options const&  options_;
     std::int64_t          chunk_reciprocal_;
-    std::int64_t          harm_fraction_;
+    std::int64_t          interference_fraction_;
 };
 
 /// The best two by cost.
 struct ranking
 {
     engine_decision decision;
-    std::int64_t    least = std::numeric_limits<std::int64_t>::max();
+    std::int64_t    best_cost = std::numeric_limits<std::int64_t>::max();
     std::int64_t    hit_tokens = 0; // of the best
 
     void offer(std::uint32_t engine, std::int64_t cost, std::int64_t hits)
     {
-        if (cost < least)
+        if (cost < best_cost)
         {
             if (decision.engine != engine)
             {
                 decision.runner_up = decision.engine;
-                decision.runner_up_us = least;
+                decision.runner_up_us = best_cost;
             }
             decision.engine = engine;
-            least = cost;
+            best_cost = cost;
             hit_tokens = hits;
         }
         else if (decision.runner_up == engine_decision::none ||
@@ -153,7 +156,7 @@
                               route_options const& options)
 {
     cost_model const cost(request, speed, options);
-    bool const       long_prompt = request.too_long_to_share(options);
+    bool const       long_prompt = request.is_long_prompt(options);
     ranking          best;
     for (std::uint32_t index = 0; index < views.size(); ++index)
     {
@@ -186,7 +189,7 @@
                                    engine_speed const&          speed)
 {
     std::uint32_t chosen = engine_decision::none;
-    std::int64_t  least = 0;
+    std::int64_t  best_cost = 0;
     for (std::uint32_t index = 0; index < views.size(); ++index)
     {
         auto const& view = views[index];
@@ -196,10 +199,10 @@
             continue;
         }
         auto const cost = (view.streams() + 1) * view.slowdown;
-        if (chosen == engine_decision::none || cost < least)
+        if (chosen == engine_decision::none || cost < best_cost)
         {
             chosen = index;
-            least = cost;
+            best_cost = cost;
         }
     }
     return chosen;
@@ -248,8 +251,9 @@
     view.slowdown = server.slowdown;
     // A frozen or cut-off server reports nothing; what it does not report counts against
     // it, or it would look as busy as others and be chosen like them.
-    auto const doubts = server.failures + std::min(server.missed_reports, most_missed);
-    view.failures = static_cast<std::int32_t>(doubts);
+    auto const counted_failures =
+        server.failures + std::min(server.missed_reports, max_counted_misses);
+    view.failures = static_cast<std::int32_t>(counted_failures);
     view.cheap = server.server.cheap;
     view.remote = server.server.data_centre != request.data_centre;
     view.role = server.load.role;
@@ -278,7 +282,7 @@
                                 .excluded = {}};
     route_decision       decision;
     decision.detail = choose_engine(views, wanted, speed, options);
-    bool const long_prompt = wanted.too_long_to_share(options);
+    bool const long_prompt = wanted.is_long_prompt(options);
     for (std::size_t index = 0; index < views.size(); ++index)
     {
         if (may_take(views[index], wanted, long_prompt))
--- a/src/policy/route.hpp
+++ b/src/policy/route.hpp
@@ -36,7 +36,7 @@
     std::span<prefix_hit const>    hits;
     std::span<std::uint32_t const> excluded; // engines that failed this request before
 
-    bool too_long_to_share(route_options const& options) const noexcept
+    bool is_long_prompt(route_options const& options) const noexcept
     {
         return prompt_tokens > options.short_prompt_tokens;
     }
@@ -45,23 +45,23 @@
 /// Predicted time to first token and what it is made of, in microseconds.
 struct route_reason
 {
-    std::int64_t prefill_us = 0; // prompt tokens ahead and own, less expected hits
-    std::int64_t steps_us = 0;   // steps of the streams already there
-    std::int64_t place_us = 0;   // until the batch has a place
-    std::int64_t penalty_us = 0; // distance
-    std::int64_t hit_tokens = 0; // expected prefix hits
-    std::int64_t harm_us = 0;    // not a time: the streams' loss, failures, preference
+    std::int64_t prefill_us = 0;    // prompt tokens ahead and own, less expected hits
+    std::int64_t steps_us = 0;      // steps of the streams already there
+    std::int64_t slot_wait_us = 0;  // until the batch has a place
+    std::int64_t distance_us = 0;   // distance
+    std::int64_t hit_tokens = 0;    // expected prefix hits
+    std::int64_t extra_cost_us = 0; // not a time: the streams' loss, failures, preference
     std::int64_t slowdown = engine_view::nominal_speed;
 
     std::int64_t total_us() const noexcept
     {
-        return prefill_us + steps_us + place_us + penalty_us;
+        return prefill_us + steps_us + slot_wait_us + distance_us;
     }
 
     /// What engines are compared by; only total_us is a time that the caller sees.
     std::int64_t cost_us() const noexcept
     {
-        return total_us() + harm_us;
+        return total_us() + extra_cost_us;
     }
 
     bool operator==(route_reason const&) const = default;
--- a/src/policy/send_account.hpp
+++ b/src/policy/send_account.hpp
@@ -56,7 +56,7 @@
     /// Whether the call may go to a server (once more), as far as its own sends decide.
     bool allows(send_terms const& terms) const
     {
-        if (failed_connects_ >= most_failed_connects || refused_ > most_refused)
+        if (failed_connects_ >= max_failed_connects || refusals_ > max_refusals)
         {
             return false;
         }
@@ -67,7 +67,7 @@
     /// True if the next send is one arrival more than the call's first.
     bool is_retry() const
     {
-        return runs_ + refused_ > 0;
+        return runs_ + refusals_ > 0;
     }
 
     /// The call goes to a server.
@@ -83,14 +83,14 @@
             fate == exchange_fate::unknown || fate == exchange_fate::answered;
         runs_ -= ran ? 0 : 1;
         failed_connects_ += fate == exchange_fate::not_sent ? 1 : 0;
-        refused_ += fate == exchange_fate::not_run ? 1 : 0;
+        refusals_ += fate == exchange_fate::not_run ? 1 : 0;
         maybe_run_ = maybe_run_ || ran;
     }
 
     /// A server got the read of the prompt, which runs nothing, and brought no handle.
     void read_failed()
     {
-        ++refused_;
+        ++refusals_;
     }
 
     /// True if 503 would be a lie.
@@ -110,14 +110,14 @@
 private:
     // 1  further send after a server has turned the call away: a second refusal says that
     //    the service is full, and the caller is told to come back
-    static constexpr std::int64_t most_refused = 1;
+    static constexpr std::int64_t max_refusals = 1;
     // 4  connections that couldn't be had: then the service is out of reach, and the
     // caller
     //    is told so while it still has time to come back
-    static constexpr std::int64_t most_failed_connects = 4;
+    static constexpr std::int64_t max_failed_connects = 4;
 
     std::int64_t runs_ = 0;
-    std::int64_t refused_ = 0;
+    std::int64_t refusals_ = 0;
     std::int64_t failed_connects_ = 0;
     bool         maybe_run_ = false;
 };
--- a/src/policy/server_health.hpp
+++ b/src/policy/server_health.hpp
@@ -16,14 +16,14 @@
 
 struct server_health_options
 {
-    int    tolerated = 2;       // 2     failures in a row before a server is avoided
-    millis first_pause{500};    // 500   ms; doubles with each further failure
-    millis refused_pause{250};  // 250   ms; a full server has places again within this
-    millis longest_pause{4000}; // 4000 ms; a server that is back is found within this
+    int    failure_threshold = 2; // 2     failures in a row before a server is avoided
+    millis first_pause{500};      // 500   ms; doubles with each further failure
+    millis refused_pause{250};    // 250   ms; a full server has places again within this
+    millis longest_pause{4000};   // 4000 ms; a server that is back is found within this
     // 1000  ms; a server that doesn't do what its entry says writes a new one within this
     millis changed_pause{1000};
     // 50    ms; a shorter rest of a pause isn't worth telling other VMs of
-    millis least_told{50};
+    millis min_published{50};
 
     bool operator==(server_health_options const&) const = default;
 };
@@ -46,18 +46,18 @@
     void failed(std::string const& server, bool lost, boot_clock::time_point now)
     {
         auto& state = states_[server];
-        state.count =
-            lost ? std::max(state.count + 1, options_.tolerated) : state.count + 1;
-        if (state.count >= options_.tolerated)
+        state.count = lost ? std::max(state.count + 1, options_.failure_threshold)
+                           : state.count + 1;
+        if (state.count >= options_.failure_threshold)
         {
             auto const doublings =
-                std::min(state.count - options_.tolerated, most_doublings);
+                std::min(state.count - options_.failure_threshold, max_doublings);
             state.until = now + std::min(options_.first_pause * (1 << doublings),
                                          options_.longest_pause);
         }
         if (lost)
         {
-            state.told[news_source::own] = state.until;
+            state.published[news_source::own] = state.until;
         }
     }
 
@@ -72,7 +72,7 @@
     void changed(std::string const& server, boot_clock::time_point now)
     {
         pause(server, now + options_.changed_pause);
-        states_[server].told[news_source::own] = now + options_.changed_pause;
+        states_[server].published[news_source::own] = now + options_.changed_pause;
     }
 
     /// Another VM has found the server lost, and leaves it alone for so long.
@@ -81,7 +81,7 @@
     {
         auto const until = now + std::clamp(left, millis{0}, options_.longest_pause);
         pause(server, until);
-        states_[server].told[source] = until;
+        states_[server].published[source] = until;
     }
 
     /// Servers that other VMs should leave alone, and for how long, as far as `widest`
@@ -92,13 +92,13 @@
         std::map<std::string, millis> result;
         for (auto const& [server, state] : states_)
         {
-            for (auto const& [source, until] : state.told)
+            for (auto const& [source, until] : state.published)
             {
                 auto const left = std::chrono::duration_cast<millis>(until - now);
-                if (source <= widest && left >= options_.least_told)
+                if (source <= widest && left >= options_.min_published)
                 {
-                    auto& told = result[server];
-                    told = std::max(told, left);
+                    auto& published = result[server];
+                    published = std::max(published, left);
                 }
             }
         }
@@ -117,13 +117,14 @@
     }
 
 private:
-    static constexpr int most_doublings = 10;
+    static constexpr int max_doublings = 10;
 
     struct server_state
     {
-        int                                           count = 0; // failures in a row
-        boot_clock::time_point                        until{};   // left alone
-        std::map<news_source, boot_clock::time_point> told; // what others should hear
+        int                    count = 0; // failures in a row
+        boot_clock::time_point until{};   // left alone
+        std::map<news_source, boot_clock::time_point>
+            published; // what others should hear
     };
 
     void pause(std::string const& server, boot_clock::time_point until)
--- a/src/policy/target_judgement.cpp
+++ b/src/policy/target_judgement.cpp
@@ -10,12 +10,12 @@
 
 namespace
 {
-constexpr std::int64_t     whole_percent = 100;
+constexpr std::int64_t     full_percent = 100;
 constexpr std::int64_t     millis_per_second = 1'000;
-constexpr std::size_t      most_ids = 5;
-constexpr std::string_view answered = "whole";
+constexpr std::size_t      max_missed_ids = 5;
+constexpr std::string_view complete_outcome = "whole";
 
-constexpr std::array<std::string_view, 5> own_failures{
+constexpr std::array<std::string_view, 5> system_failures{
     "overloaded", "deadline", "no_backend_server", "backend_server_failed",
     "no_configuration"};
 } // namespace
@@ -35,9 +35,9 @@
 
 bool counts(target_sample const& sample)
 {
-    return sample.outcome == answered ||
-           std::find(own_failures.begin(), own_failures.end(), sample.outcome) !=
-               own_failures.end();
+    return sample.outcome == complete_outcome ||
+           std::find(system_failures.begin(), system_failures.end(), sample.outcome) !=
+               system_failures.end();
 }
 
 target_state state_of(std::int64_t calls, std::int64_t met, std::int64_t percent)
@@ -46,8 +46,8 @@
     {
         return target_state::no_evidence;
     }
-    return met * whole_percent >= calls * percent ? target_state::held
-                                                  : target_state::missed;
+    return met * full_percent >= calls * percent ? target_state::held
+                                                 : target_state::missed;
 }
 
 target_verdict judge_target(target_rule const&             rule,
@@ -66,7 +66,8 @@
             continue;
         }
         ++verdict.calls;
-        bool const met = sample.outcome == answered && sample.first_token_ms >= 0 &&
+        bool const met = sample.outcome == complete_outcome &&
+                         sample.first_token_ms >= 0 &&
                          sample.first_token_ms <= rule.first_token_ms &&
                          sample.between_tokens_ms <= rule.between_tokens_ms;
         verdict.met += met;
@@ -76,7 +77,7 @@
         }
     }
     auto const extra =
-        verdict.missed_ids.size() - std::min(verdict.missed_ids.size(), most_ids);
+        verdict.missed_ids.size() - std::min(verdict.missed_ids.size(), max_missed_ids);
     verdict.missed_ids.erase(verdict.missed_ids.begin(),
                              verdict.missed_ids.begin() +
                                  static_cast<std::ptrdiff_t>(extra));
--- a/src/policy/wait_judgement.hpp
+++ b/src/policy/wait_judgement.hpp
@@ -27,7 +27,7 @@
     //       from 0.001 to 0.005
     double longest_wait = 2.5;
     // 250 and 2000  ms; bounds of the time after which a caller is asked to come back
-    millis soonest{250};
+    millis min_retry_after{250};
     millis latest{2000};
 
     bool operator==(wait_options const&) const = default;
@@ -61,7 +61,7 @@
         return std::nullopt;
     }
     auto const excess = millis{std::llround(wait_ms - objective)};
-    return std::clamp(excess, options.soonest, options.latest);
+    return std::clamp(excess, options.min_retry_after, options.latest);
 }
 
 } // namespace marigoldcrank
--- a/tests/property/policy_property_test.cpp
+++ b/tests/property/policy_property_test.cpp
@@ -152,7 +152,7 @@
 
 // 2. Fair level
 
-RC_GTEST_PROP(fair_level, shares_out_the_capacity_and_nothing_more, ())
+RC_GTEST_PROP(fair_level, distributes_exactly_the_capacity, ())
 {
     auto const pairs =
         *rc::gen::nonEmpty(rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -217,7 +217,7 @@
 
 // 4. Routing
 
-RC_GTEST_PROP(choose_engine, never_takes_a_forbidden_engine, ())
+RC_GTEST_PROP(choose_engine, never_chooses_a_disallowed_engine, ())
 {
     auto const               count = *rc::gen::inRange(1, 30);
     std::vector<engine_view> views(static_cast<std::size_t>(count));
--- a/tests/property/send_account_property_test.cpp
+++ b/tests/property/send_account_property_test.cpp
@@ -20,42 +20,43 @@
                              exchange_fate::not_run, exchange_fate::unknown);
 }
 
-RC_GTEST_PROP(send_account, a_call_that_may_not_be_repeated_never_runs_twice, ())
+RC_GTEST_PROP(send_account, a_non_repeatable_call_never_runs_twice, ())
 {
     send_terms const terms{.repeatable = false, .max_servers = *rc::gen::inRange(1, 6)};
     send_account     account;
     int              ran = 0;
-    int              sends = 0;
-    while (account.allows(terms) && sends < 100)
+    int              attempts = 0;
+    while (account.allows(terms) && attempts < 100)
     {
         account.begin();
         auto const fate = any_fate();
         account.end(fate);
         ran += fate == exchange_fate::unknown || fate == exchange_fate::answered ? 1 : 0;
-        ++sends;
+        ++attempts;
         RC_ASSERT(account.maybe_run() == (ran > 0));
     }
     RC_ASSERT(ran <= 1);
 }
 
-RC_GTEST_PROP(send_account, sends_end_however_they_fail, ())
+RC_GTEST_PROP(send_account, attempts_are_bounded_however_they_fail, ())
 {
     send_terms const terms{.repeatable = true, .max_servers = *rc::gen::inRange(1, 6)};
     send_account     account;
-    int              sends = 0;
+    int              attempts = 0;
     while (account.allows(terms))
     {
         account.begin();
         account.end(any_fate());
-        ++sends;
-        RC_ASSERT(sends <= terms.max_servers + 2 + 4); // runs, refusals, failed connects
+        ++attempts;
+        RC_ASSERT(attempts <=
+                  terms.max_servers + 2 + 4); // runs, refusals, failed connects
         RC_ASSERT(account.runs() <= terms.max_servers);
     }
 }
 
 // An answer breaks off after its head: the send is settled a second time, and is still
 // one.
-TEST(send_account, answer_that_breaks_off_counts_once)
+TEST(send_account, an_interrupted_response_counts_once)
 {
     send_account account;
     account.begin();
@@ -66,7 +67,7 @@
     EXPECT_FALSE(account.allows({.repeatable = false, .max_servers = 2}));
 }
 
-TEST(send_account, reads_that_are_turned_away_are_retries_and_no_runs)
+TEST(send_account, failed_prefills_count_as_retries_but_not_as_runs)
 {
     send_account account;
     EXPECT_FALSE(account.is_retry());
@@ -100,7 +101,7 @@
 
 // A server breaks off within an event, at any byte; another one goes on behind the last
 // whole one. The caller must get each event once, and one head.
-RC_GTEST_PROP(stream_relay, streams_of_two_servers_have_no_seam, ())
+RC_GTEST_PROP(stream_relay, a_resumed_stream_equals_an_unbroken_one, ())
 {
     stream_relay relay(true, false);
     std::string  first;
@@ -124,7 +125,7 @@
     RC_ASSERT(out.find("HTTP/1.1") == out.rfind("HTTP/1.1"));
 }
 
-TEST(stream_relay, nothing_goes_out_before_the_first_whole_event)
+TEST(stream_relay, nothing_is_sent_before_the_first_complete_event)
 {
     stream_relay relay(false, true);
     relay.begin_server();
--- a/tests/unit/crash_watch_test.cpp
+++ b/tests/unit/crash_watch_test.cpp
@@ -19,7 +19,7 @@
 }
 
 /// All that `from` tells reaches `to`.
-void tell(crash_watch& from, crash_watch& to, int ms)
+void deliver(crash_watch& from, crash_watch& to, int ms)
 {
     for (auto const& each : from.news(at(ms)))
     {
@@ -27,15 +27,15 @@
     }
 }
 
-TEST(crash_watch, two_crashes_on_two_vms_stop_a_request_on_all)
+TEST(crash_watch, two_crashes_on_two_vms_block_a_request_on_all)
 {
     crash_watch one;
     crash_watch other;
     EXPECT_TRUE(one.crashed(crash("s1", "1"), at(0)));
-    tell(one, other, 150);
+    deliver(one, other, 150);
     EXPECT_FALSE(other.guilty("c", at(150)));
     EXPECT_TRUE(other.crashed(crash("s1", "2"), at(1000))); // started again under its id
-    tell(other, one, 1150);
+    deliver(other, one, 1150);
     EXPECT_TRUE(one.guilty("c", at(1150)));
     EXPECT_TRUE(other.guilty("c", at(1150)));
     EXPECT_FALSE(one.guilty("c", at(62'000)));
@@ -44,7 +44,7 @@
 // Two clerks look at the same claim when its server crashes for another reason. Both
 // calls end at once, at two VMs. Counted as two crashes, the lookup would be refused for
 // a minute.
-TEST(crash_watch, calls_that_end_together_at_one_server_are_one_crash)
+TEST(crash_watch, calls_broken_by_one_server_crash_count_once)
 {
     crash_watch one;
     crash_watch other;
@@ -53,8 +53,8 @@
     other.crashed(crash("s1", "3"), at(5));
     for (int ms = 150; ms < 3000; ms += 150)
     {
-        tell(one, other, ms);
-        tell(other, one, ms);
+        deliver(one, other, ms);
+        deliver(other, one, ms);
         EXPECT_FALSE(one.guilty("c", at(ms)));
         EXPECT_FALSE(other.guilty("c", at(ms)));
     }
@@ -62,7 +62,7 @@
 
 // A lookup is reset now and then, and each time answered by another server. It crashes
 // nothing; without the answers counting, the second reset within a minute would stop it.
-TEST(crash_watch, a_whole_answer_clears_a_suspicion_on_all_vms)
+TEST(crash_watch, a_complete_response_clears_a_suspect_on_all_vms)
 {
     crash_watch one;
     crash_watch other;
@@ -71,19 +71,19 @@
         auto const begin = round * 5000;
         auto const call = std::to_string(round);
         EXPECT_TRUE(one.crashed(crash("s1", call), at(begin)));
-        tell(one, other, begin + 150);
+        deliver(one, other, begin + 150);
         one.answered("c", at(begin + 200));
         for (int ms = begin + 300; ms < begin + 3000; ms += 150)
         {
-            tell(one, other, ms);
-            tell(other, one, ms);
+            deliver(one, other, ms);
+            deliver(other, one, ms);
         }
         EXPECT_FALSE(one.guilty("c", at(begin + 3000)));
         EXPECT_FALSE(other.guilty("c", at(begin + 3000)));
     }
 }
 
-TEST(crash_watch, news_is_bounded_in_time_and_number)
+TEST(crash_watch, published_updates_are_bounded_in_time_and_number)
 {
     crash_watch watch;
     for (int call = 0; call < 500; ++call)
--- a/tests/unit/retry_gate_test.cpp
+++ b/tests/unit/retry_gate_test.cpp
@@ -10,12 +10,12 @@
 
 // The store is away for eight seconds and a VM looks every 100 ms: it is called a few
 // times, not eighty, and within two seconds of its return.
-TEST(retry_gate, calls_get_rarer_while_a_dependency_fails)
+TEST(retry_gate, pauses_grow_while_a_dependency_fails)
 {
     retry_gate             gate;
     boot_clock::time_point now{std::chrono::hours{1}};
     int                    calls = 0;
-    for (int look = 0; look < 80; ++look)
+    for (int poll = 0; poll < 80; ++poll)
     {
         if (gate.open(now))
         {
@@ -26,17 +26,17 @@
     }
     EXPECT_GE(calls, 4);
     EXPECT_LE(calls, 7);
-    EXPECT_TRUE(gate.open(now + retry_gate_options{}.longest));
+    EXPECT_TRUE(gate.open(now + retry_gate_options{}.max_pause));
 }
 
 // Hundreds of VMs that hear of the store through relays each probe an outage of the store
 // themselves; the relays alone find its return soon enough.
-TEST(retry_gate, patient_gates_probe_an_outage_rarely_and_open_at_once)
+TEST(retry_gate, slow_retries_probe_an_outage_rarely_and_open_on_success)
 {
     retry_gate             gate{patient_retries};
     boot_clock::time_point now{std::chrono::hours{1}};
     int                    calls = 0;
-    for (int look = 0; look < 80; ++look)
+    for (int poll = 0; poll < 80; ++poll)
     {
         calls += gate.open(now) ? 1 : 0;
         if (gate.open(now))
@@ -52,7 +52,7 @@
 
 // A VM becomes a relay while its gate is patient: its pauses must follow at once, since
 // others wait for what it appends.
-TEST(retry_gate, limit_shortens_pauses_that_have_grown)
+TEST(retry_gate, limit_shortens_a_grown_pause)
 {
     retry_gate             gate{patient_retries};
     boot_clock::time_point now{std::chrono::hours{1}};
@@ -62,10 +62,10 @@
     }
     gate.limit(retry_gate_options{});
     gate.failed(now);
-    EXPECT_TRUE(gate.open(now + retry_gate_options{}.longest));
+    EXPECT_TRUE(gate.open(now + retry_gate_options{}.max_pause));
 }
 
-TEST(retry_gate, an_answer_opens_it_at_once)
+TEST(retry_gate, a_success_opens_the_gate_at_once)
 {
     retry_gate             gate;
     boot_clock::time_point now{std::chrono::hours{1}};
@@ -78,7 +78,7 @@
 // A VM is cut off from the store and from its relays, and a server leaves meanwhile. Back
 // again, it has to learn of that before it counts as in touch: held back for two seconds
 // more, it sent calls there 13 s after the notice.
-TEST(retry_gate, a_vm_that_was_cut_off_alone_is_not_held_back)
+TEST(retry_gate, a_vm_that_alone_lost_the_store_does_not_wait)
 {
     retry_gate             gate;
     boot_clock::time_point now{std::chrono::hours{1}};
--- a/tests/unit/server_health_news_test.cpp
+++ b/tests/unit/server_health_news_test.cpp
@@ -19,7 +19,7 @@
 
 // Engines that go down and up by turns cost every VM of a large fleet two failed sends
 // each, and the retries that all VMs share are gone within seconds.
-TEST(server_health_news, a_lost_server_is_avoided_and_told_at_once)
+TEST(server_health_news, a_lost_server_is_avoided_and_published_at_once)
 {
     server_health health;
     health.failed("e", true, at(0));
@@ -32,7 +32,7 @@
 
 // A full server has places again soon, and one failed answer says little: other VMs would
 // leave sound servers alone.
-TEST(server_health_news, full_servers_and_single_failures_are_not_told)
+TEST(server_health_news, full_servers_and_single_failures_are_not_published)
 {
     server_health health;
     health.refused("full", at(0));
@@ -45,7 +45,7 @@
 // 2. Hearing
 
 // Relays that tell each other what they heard would keep a server out for ever.
-TEST(server_health_news, what_was_heard_elsewhere_goes_no_further_than_the_own_centre)
+TEST(server_health_news, updates_from_other_data_centres_are_not_sent_back)
 {
     server_health relay;
     relay.hear("e", millis{400}, news_source::others, at(0));
@@ -56,7 +56,7 @@
     EXPECT_FALSE(relay.suspect("e", at(401)));
 }
 
-TEST(server_health_news, an_answer_of_our_own_outweighs_what_was_heard)
+TEST(server_health_news, an_own_success_overrides_received_updates)
 {
     server_health health;
     health.hear("e", millis{4000}, news_source::centre, at(0));
@@ -64,7 +64,7 @@
     EXPECT_FALSE(health.suspect("e", at(1)));
 }
 
-TEST(server_health_news, no_news_keeps_a_server_out_for_longer_than_a_failure_would)
+TEST(server_health_news, received_pauses_are_capped_at_the_longest_pause)
 {
     server_health health;
     health.hear("e", std::chrono::hours{5}, news_source::centre, at(0));
--- a/tests/unit/target_judgement_test.cpp
+++ b/tests/unit/target_judgement_test.cpp
@@ -26,7 +26,7 @@
     return {now_ms - 1'000, std::move(id), "noord", "whole", first, between};
 }
 
-TEST(service_targets, are_held_at_the_percentage_exactly)
+TEST(service_targets, are_met_at_exactly_the_required_percentage)
 {
     std::vector<target_sample> samples{sample("a", 400, 75), sample("b", 10, 10),
                                        sample("c", 10, 10), sample("d", 401, 10)};
@@ -37,7 +37,7 @@
     EXPECT_EQ(judge_target(rule(), samples, now_ms).state, target_state::missed);
 }
 
-TEST(service_targets, count_own_failures_but_not_the_callers_doing)
+TEST(service_targets, count_system_failures_but_not_caller_errors)
 {
     auto overloaded = sample("a", -1, 0);
     overloaded.outcome = "overloaded";
@@ -54,7 +54,7 @@
     EXPECT_EQ(judge_target(rule(), {}, now_ms).state, target_state::no_evidence);
 }
 
-TEST(report_page, shows_each_cause_and_refuses_a_broken_series)
+TEST(report_page, shows_each_cause_and_rejects_an_invalid_series)
 {
     auto const page = leaf::try_handle_all(
         []() -> leaf::result<std::string>
