--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -1,4 +1,4 @@
-// Admission and the brief queue.
+// Admission decision and the queue of held requests.
 #include "policy/admission.hpp"
 
 #include <algorithm>
@@ -12,10 +12,11 @@
 constexpr std::int64_t micros_per_milli = 1'000;
 constexpr std::int64_t min_retry_ms = 1'000;
 constexpr std::int64_t virtual_scale = 1'024;
-constexpr std::int64_t idle_time_percent = 125; // of the idle time, for long prompts
+constexpr std::int64_t idle_time_percent =
+    125; // of the time on an idle engine, for long prompts
 } // namespace
 
-// 1. Judgement
+// 1. Decision
 
 admission_decision judge_admission(admission_input const&   input,
                                    admission_options const& options)
@@ -79,7 +80,7 @@
     start_of_.erase(found);
     if (order_.empty())
     {
-        // Nobody waits, so nobody has a claim from before.
+        // The queue is empty, so earlier virtual finish times no longer matter.
         finish_of_.clear();
     }
 }
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,6 +1,9 @@
-// Admission: dispatch now, hold briefly, or refuse early with when to come back.
+// Admission control: a request is dispatched, held briefly, or refused with a retry time.
 //
 // Index: 1 admission_input, 2 admission_decision, 3 judge_admission, 4 fair_queue
+//
+// The decision compares the predicted time to the first token with the workspace's
+// target.
 #ifndef MARIGOLDCRANK_POLICY_ADMISSION_HPP
 #define MARIGOLDCRANK_POLICY_ADMISSION_HPP
 
@@ -17,15 +20,15 @@
 namespace marigoldcrank
 {
 
-/// What admission is judged by.
+/// Inputs of an admission decision; times are in microseconds.
 struct admission_input
 {
-    bool         servable = true; // some engine may take it at all
+    bool         servable = true; // at least one engine may take the request
     bool         within_share = true;
-    std::int64_t predicted_us = 0; // time to first token on the best engine
-    std::int64_t idle_us = 0;      // the same, were that engine idle
-    std::int64_t target_us = 0;    // the workspace's target for the first token
-    std::int64_t waited_us = 0;    // time already spent in the queue
+    std::int64_t predicted_us = 0; // to the first token on the best engine
+    std::int64_t idle_us = 0;      // the same if that engine were idle
+    std::int64_t target_us = 0;    // target of the workspace for the first token
+    std::int64_t waited_us = 0;    // time spent in the queue so far
 
     bool operator==(admission_input const&) const = default;
 };
@@ -37,35 +40,35 @@
     refuse
 };
 
-/// The verdict with what led to it.
+/// The verdict, with the inputs that led to it.
 struct admission_decision
 {
     admission_verdict verdict{};
-    std::int64_t      max_predicted_us = 0; // the prediction had to stay below this
-    std::int64_t      retry_after_ms = 0;   // with refuse: when it may be worth trying
+    std::int64_t      max_predicted_us = 0; // limit of predicted plus waited time
+    std::int64_t      retry_after_ms = 0;   // with refuse: suggested retry delay
     admission_input   input;
 
     bool operator==(admission_decision const&) const = default;
 };
 
-/// Judges one request against its target. A workspace above its share has a tighter
-/// bound, so what it adds never fills the time that the others' targets leave. A prompt
-/// too long for the target on an idle engine is not refused for that: it runs when its
-/// engine is nearly idle.
+/// Decides on one request. A workspace above its fair share gets a lower limit, so that
+/// its extra requests don't use up the time that other workspaces' targets allow. A
+/// prompt that misses the target even on an idle engine is not refused for its length: it
+/// is dispatched when its engine is nearly idle.
 admission_decision judge_admission(admission_input const&   input,
                                    admission_options const& options);
 
-/// Requests held briefly, in the order of weighted fair queueing: by virtual start
-/// times that advance with tokens over weight, so that a workspace's thousandth request
-/// does not stand before another's first.
+/// Held requests in the order of weighted fair queueing. Each workspace's virtual start
+/// time advances by tokens / weight, so that the thousandth request of one workspace does
+/// not precede the first of another.
 class fair_queue
 {
 public:
-    /// Adds an item of `tokens` for a workspace of this weight.
+    /// Adds an item of `tokens` tokens for a workspace of the given weight.
     void push(std::uint32_t workspace, std::uint64_t item, std::int64_t tokens,
               std::int64_t weight);
 
-    /// Items in order; the caller removes what it has dispatched or refused.
+    /// The items in queue order. The caller removes those that it dispatches or refuses.
     std::vector<std::uint64_t> items() const;
 
     void remove(std::uint64_t item);
@@ -77,8 +80,9 @@
 
     std::set<queue_key>                   order_;
     std::map<std::uint64_t, std::int64_t> start_of_;
-    std::map<std::uint32_t, std::int64_t> finish_of_; // of each workspace's last item
-    std::int64_t                          virtual_time_ = 0;
+    std::map<std::uint32_t, std::int64_t>
+                 finish_of_; // virtual finish of each workspace's last item
+    std::int64_t virtual_time_ = 0;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/crash_watch.cpp
+++ b/src/policy/crash_watch.cpp
@@ -1,4 +1,4 @@
-// Counting crashes once, and forgetting the innocent.
+// Counts each crash once and clears content that got a complete response.
 #include "policy/crash_watch.hpp"
 
 #include <algorithm>
--- a/src/policy/crash_watch.hpp
+++ b/src/policy/crash_watch.hpp
@@ -1,12 +1,13 @@
-// Which requests crash the servers that run them, as all VMs together have seen.
+// Detects requests that crash the servers that run them, from the crashes that all VMs
+// see.
 //
 // Index: 1 crash_news, 2 crash_watch_options, 3 crash_watch
 //
-// Failure guarded against: a request that crashes each server that runs it comes again,
-// at any VM, until no server is left. It shows as connections that end under calls of one
-// content. Two crashes stop it, since a lookup that many callers make can be in flight at
-// a server that crashes for another reason; a whole answer to one of them clears it on
-// all VMs.
+// A caller may repeat a request that crashes every server that runs it, at any VM, until
+// no server is left. Such a request shows as connections that end during calls with the
+// same content. Content is blocked after two crashes rather than one, because a request
+// that many callers send can be in flight at a server that crashes for another reason. A
+// complete response to a call with this content clears the suspicion on all VMs.
 #ifndef MARIGOLDCRANK_POLICY_CRASH_WATCH_HPP
 #define MARIGOLDCRANK_POLICY_CRASH_WATCH_HPP
 
@@ -21,51 +22,50 @@
 namespace marigoldcrank
 {
 
-/// What one VM tells the others of a content.
+/// An update on one content that a VM publishes to the other VMs.
 struct crash_news
 {
     std::string content;         // hash of path, caller and body
-    std::string server;          // lost while it ran a call of this content
-    std::string call_id;         // that call; a server may start again under its id
-    bool        cleared = false; // a call of this content was answered whole; no crash
+    std::string server;          // lost while it ran a call with this content
+    std::string call_id;         // that call; a restarted server may keep its id
+    bool        cleared = false; // a call with this content got a complete response
 
     auto operator<=>(crash_news const&) const = default;
 };
 
 struct crash_watch_options
 {
-    millis merge_window{
-        250}; // 250   ms; calls that end so close at one server are one crash
-    millis publish_for{
-        3000}; // 3000  ms; news is told in some twenty digests: a lost one is no loss
-    millis      keep{60000}; // 60000 ms; crashing requests come again within seconds
-    std::size_t max_published =
-        64; // 64  news in a digest; after a crowded server is lost
-            //     most are of innocent calls
+    millis merge_window{250}; // 250   ms; calls of one content that end within it at one
+                              // server are one crash
+    millis publish_for{3000}; // 3000  ms; an update is repeated in about 20 digests, so a
+                              // lost digest does no harm
+    millis      keep{60000};  // 60000 ms; a crashing request is repeated within seconds
+    std::size_t max_published = 64; // 64  updates in a digest; after the loss of a busy
+                                    // server most concern harmless calls
 
     bool operator==(crash_watch_options const&) const = default;
 };
 
-/// Pure; time is passed in. Not shared between threads.
+/// Does no I/O; the caller passes in the time. Not thread-safe.
 class crash_watch
 {
 public:
     explicit crash_watch(crash_watch_options options = {});
 
-    /// A connection to `server` ended under a call. True if that is a crash not known
-    /// yet.
+    /// Records that the connection to `crash.server` ended during a call. True if this
+    /// counts as a new crash.
     bool crashed(crash_news const& crash, boot_clock::time_point now);
 
-    /// A call of this content was answered whole.
+    /// Records a complete response to a call with this content.
     void answered(std::string const& content, boot_clock::time_point now);
 
-    /// What another VM tells.
+    /// Merges an update of another VM.
     void absorb(crash_news const& news, boot_clock::time_point now);
 
-    /// What is to be told to the other VMs.
+    /// The updates to publish to the other VMs.
     std::vector<crash_news> news(boot_clock::time_point now);
 
-    /// True if a call of this content may not run any more.
+    /// True if calls with this content must not run.
     bool guilty(std::string const& content, boot_clock::time_point now) const;
 
 private:
@@ -76,8 +76,8 @@
 
     crash_watch_options                           options_;
     poison_list                                   poison_;
-    std::map<crash_site, boot_clock::time_point>  last_crash_; // crash that counted
-    std::map<std::string, boot_clock::time_point> duplicates_; // names that didn't
+    std::map<crash_site, boot_clock::time_point>  last_crash_; // last counted crash
+    std::map<std::string, boot_clock::time_point> duplicates_; // crash ids not counted
     std::deque<std::pair<boot_clock::time_point, crash_news>> published_;
 };
 
--- a/src/policy/engine_view.cpp
+++ b/src/policy/engine_view.cpp
@@ -52,8 +52,8 @@
 void rank_engines(std::span<engine_view> views, std::int64_t entry, std::int64_t entries,
                   route_options const& options)
 {
-    // Engines used for prompts are ranked apart from the others: a request chooses within
-    // one of the two, and ranks must spread entry VMs evenly over each.
+    // Engines used for prefill are ranked separately from the others: a request chooses
+    // within one of the two groups, and the ranks must spread entry VMs evenly over each.
     for (bool const prefill : {false, true})
     {
         auto const in_group = [&](engine_view const& view)
--- a/src/policy/fair_share.cpp
+++ b/src/policy/fair_share.cpp
@@ -1,4 +1,4 @@
-// Weighted max-min shares.
+// Weighted max-min fair shares.
 #include "policy/fair_share.hpp"
 
 #include <algorithm>
@@ -21,7 +21,8 @@
     {
         return no_level;
     }
-    // Those who ask least for their weight are served whole; the rest share what is left.
+    // Workspaces with the least demand for their weight are served in full; the others
+    // share what is left.
     std::sort(demands.begin(), demands.end(),
               [](share_demand const& left, share_demand const& right)
               { return left.offered * right.weight < right.offered * left.weight; });
--- a/src/policy/fair_share.hpp
+++ b/src/policy/fair_share.hpp
@@ -1,10 +1,11 @@
-// Fair shares of a group of engines, in tokens and by weight.
+// Weighted fair shares of the capacity of a group of engines, in tokens.
 //
 // Index: 1 share_demand, fair_level, 2 share_use, 3 fair_share
 //
-// An entry VM sees a part of a workspace's requests, for a small one a few in a window:
-// too few to judge it by. So entry VMs tell each other their use in digests with their
-// heartbeats, the heaviest workspaces first; what is missing from a digest is small.
+// An entry VM sees only a part of a workspace's requests; for a small workspace these are
+// a few in a window, too few to decide on. Entry VMs therefore exchange digests of their
+// use with their heartbeats. A digest holds the heaviest workspaces, so that what it
+// leaves out is small.
 #ifndef MARIGOLDCRANK_POLICY_FAIR_SHARE_HPP
 #define MARIGOLDCRANK_POLICY_FAIR_SHARE_HPP
 
@@ -17,7 +18,7 @@
 namespace marigoldcrank
 {
 
-/// What one workspace asked for, with its weight.
+/// The demand of one workspace and its weight.
 struct share_demand
 {
     std::int64_t weight = 1;
@@ -26,7 +27,7 @@
     bool operator==(share_demand const&) const = default;
 };
 
-/// A level that limits nobody.
+/// The level at which no workspace is limited.
 constexpr std::int64_t no_level = std::numeric_limits<std::int64_t>::max();
 
 /// Weighted max-min fairness: the level L, in tokens for each unit of weight, at which
@@ -43,8 +44,8 @@
     bool operator==(share_use const&) const = default;
 };
 
-/// Use of each workspace over a sliding window, and who is within its share. A workspace
-/// that asks for less than its share is always within it.
+/// Tracks each workspace's use over a sliding window and tells whether it is within its
+/// share. A workspace that asks for less than its share is always within it.
 class fair_share
 {
 public:
@@ -52,22 +53,23 @@
 
     void weigh(std::uint32_t workspace, std::int64_t weight);
 
-    /// Counts what was asked for, whether or not it was admitted.
+    /// Counts tokens that were asked for, admitted or not.
     void offer(std::uint32_t workspace, std::int64_t tokens, boot_clock::time_point now);
 
-    /// Counts what was admitted.
+    /// Counts tokens that were admitted.
     void charge(std::uint32_t workspace, std::int64_t tokens, boot_clock::time_point now);
 
-    /// Work had to be held or refused: shares count for a window from now on.
+    /// Records that a request was held or refused: shares are enforced for one window
+    /// from now on.
     void pressed(boot_clock::time_point now);
 
-    /// Own use of the `most` workspaces with the highest use for their weight.
+    /// This VM's use, of the `most` workspaces with the most offered tokens per weight.
     std::vector<share_use> digest(boot_clock::time_point now, std::size_t most) const;
 
-    /// Takes another entry VM's digest in place of its earlier one.
+    /// Replaces the digest of entry VM `peer`.
     void hear(std::uint32_t peer, std::vector<share_use> uses);
 
-    /// Recomputes the level from the window; call it every few hundred milliseconds.
+    /// Recomputes the level from the window. To be called every few hundred milliseconds.
     void refresh(boot_clock::time_point now);
 
     bool within(std::uint32_t workspace, boot_clock::time_point now) const;
@@ -75,10 +77,11 @@
     std::int64_t level() const noexcept;
 
 private:
-    /// Two buckets of one window each, read as a sliding window.
+    /// Two buckets, one window long each, from which the sum of a sliding window is
+    /// interpolated.
     struct window_sum
     {
-        std::int64_t number = 0; // of the current bucket
+        std::int64_t number = 0; // index of the current bucket
         std::int64_t current = 0;
         std::int64_t previous = 0;
     };
@@ -87,7 +90,7 @@
         std::int64_t weight = 1;
         window_sum   offered;
         window_sum   charged;
-        std::int64_t peers_offered = 0; // as last heard
+        std::int64_t peers_offered = 0; // from the last digests
         std::int64_t peers_charged = 0;
     };
 
--- a/src/policy/news_source.hpp
+++ b/src/policy/news_source.hpp
@@ -1,4 +1,4 @@
-// Where news that VMs tell each other comes from.
+// The origin of an update that VMs publish to each other.
 //
 // Index: 1 news_source
 #ifndef MARIGOLDCRANK_POLICY_NEWS_SOURCE_HPP
@@ -7,13 +7,13 @@
 namespace marigoldcrank
 {
 
-/// Whose observation a piece of news is. What came from another data centre must not go
-/// back there: two relays would pass it to each other for ever.
+/// Where an update was observed. An update from another data centre must not be sent back
+/// there: two relays would pass it to each other forever.
 enum class news_source
 {
-    own,    // of this VM
-    centre, // of VMs in this VM's data centre
-    others  // of VMs elsewhere
+    own,    // by this VM
+    centre, // by VMs in this VM's data centre
+    others  // by VMs in other data centres
 };
 
 } // namespace marigoldcrank
--- a/src/policy/pause_watch.hpp
+++ b/src/policy/pause_watch.hpp
@@ -1,12 +1,13 @@
-// How long the pauses of streams are against what callers are promised, and how many
-// prompt tokens engines that decode may read beside their streams.
+// Tracks how long the pauses in streams are, compared with the promised limit, and sets
+// how many prefill tokens may be queued at decode engines.
 //
 // Index: 1 pause_watch_options, 2 pause_watch
 //
-// Load answered: engines read a piece of a prompt between two tokens of their streams.
-// Where an event holds many tokens, or the promise is short, a decoding engine that reads
-// all the time makes every stream on it late; elsewhere it can read at no harm, and a
-// fleet that leaves its decoding engines unused for that queues at the others.
+// Engines compute a chunk of a prompt between two tokens of their streams. Where an event
+// holds many tokens, or the promised pause is short, a decode engine with constant
+// prefill makes every stream on it late. Elsewhere prefill there does no harm, and a
+// fleet that does not use its decode engines for it builds up queues at the prefill
+// engines.
 #ifndef MARIGOLDCRANK_POLICY_PAUSE_WATCH_HPP
 #define MARIGOLDCRANK_POLICY_PAUSE_WATCH_HPP
 
@@ -20,22 +21,22 @@
 
 struct pause_watch_options
 {
-    // 0.9   quantile of the streams' longest pauses that is followed
+    // 0.9   quantile of the streams' longest pauses that is tracked
     double quantile = 0.9;
-    // 0.03  of the promised pause; by so much one stream moves the quantile
+    // 0.03  of the promised pause; step by which one stream moves the estimate
     double step = 0.03;
-    // 0.7 and 0.85  of the promised pause; below the first, streams bear any reading,
-    //               above the second only the least
+    // 0.7 and 0.85  of the promised pause; below the first the limit is `most`, above the
+    //               second it is `least`, and between them it is interpolated
     double full_below = 0.7;
     double min_above = 0.85;
-    // 1500 and 30000  tokens that may wait at an engine that decodes
+    // 1500 and 30000  prefill tokens that may be queued at a decode engine
     std::int64_t least = 1500;
     std::int64_t most = 30000;
 
     bool operator==(pause_watch_options const&) const = default;
 };
 
-/// Pure.
+/// Estimates a quantile by small fixed steps. Does no I/O.
 class pause_watch
 {
 public:
@@ -44,24 +45,25 @@
     {
     }
 
-    /// A stream of so many events has ended whole.
+    /// Records the complete end of a stream with `events` events.
     void ended(std::int64_t events, boot_clock::duration longest_pause, millis promised)
     {
         if (events < min_events || promised.count() <= 0)
         {
             return;
         }
-        constexpr double max_ratio = 2; // a lost engine says nothing about reading
-        auto const       share = std::min(std::chrono::duration<double>(longest_pause) /
-                                              std::chrono::duration<double>(promised),
-                                          max_ratio);
+        constexpr double max_ratio =
+            2; // longer pauses come from lost engines, not from prefill
+        auto const share = std::min(std::chrono::duration<double>(longest_pause) /
+                                        std::chrono::duration<double>(promised),
+                                    max_ratio);
         pause_ratio_ += options_.step * (share > pause_ratio_ ? options_.quantile
                                                               : options_.quantile - 1);
         pause_ratio_ = std::clamp(pause_ratio_, 0.0, max_ratio);
     }
 
-    /// Tokens that may wait to be read at an engine that decodes. `adapts` off: the
-    /// least.
+    /// Prefill tokens that may be queued at a decode engine; `least` if `adapts` is
+    /// false.
     std::int64_t beside_streams(bool adapts) const
     {
         auto const headroom = (options_.min_above - pause_ratio_) /
@@ -72,20 +74,21 @@
                    share * static_cast<double>(options_.most - options_.least));
     }
 
-    /// Whether engines that decode can take over reading from the others.
+    /// Whether decode engines can take over prefill from the prefill engines.
     bool bears_reading(bool adapts) const
     {
         return beside_streams(adapts) > (options_.least + options_.most) / 2;
     }
 
-    /// Longest pause of most streams, as a share of the promised one.
+    /// The tracked quantile of the longest pauses, as a ratio to the promised pause.
     double share() const noexcept
     {
         return pause_ratio_;
     }
 
 private:
-    static constexpr std::int64_t min_events = 3; // fewer show no pause
+    static constexpr std::int64_t min_events =
+        3; // with fewer there is no pause to measure
 
     pause_watch_options options_;
     double              pause_ratio_;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -1,4 +1,4 @@
-// Costs of candidates, in milliseconds until the call's prompt is read.
+// Placement by cost: predicted milliseconds until the call's prompt is read.
 //
 // Index: 1 shared, 2 plain, 3 model
 #include "policy/placement.hpp"
@@ -16,16 +16,18 @@
 
 // 1. Shared
 
-constexpr double suspect_cost = 1e9; // above any real cost: only if nothing else is there
+constexpr double suspect_cost =
+    1e9; // above any real cost, so that suspects are chosen last
 
-/// Rendezvous: every VM ranks the engines for a prompt part alike, without talking.
+/// Rendezvous hashing: all VMs rank the engines for a prompt part alike without messages.
 std::uint64_t rendezvous_rank(std::string_view part, std::string const& id)
 {
     return XXH3_64bits_withSeed(id.data(), id.size(),
                                 XXH3_64bits(part.data(), part.size()));
 }
 
-/// The engine of `role` on which the shared part of prompts is kept.
+/// The engine with the highest rank for a shared prompt part, among the prefill engines
+/// or the others.
 backend_server const* rendezvous_engine(std::vector<candidate> const& candidates,
                                         std::string_view part, bool prefill)
 {
@@ -44,10 +46,10 @@
     return best;
 }
 
-/// From 0 to 1; the same for a call and an engine however often it is asked for.
+/// A value from 0 to 1 that depends only on the call's ticket and the engine's id.
 double hash_fraction(std::uint64_t ticket, std::string const& id)
 {
-    constexpr double most = 18446744073709551615.0; // of 64 bits
+    constexpr double most = 18446744073709551615.0; // 2^64 - 1
     return static_cast<double>(XXH3_64bits_withSeed(id.data(), id.size(), ticket)) / most;
 }
 
@@ -57,8 +59,8 @@
     double           cost = std::numeric_limits<double>::infinity();
 };
 
-/// The cheapest candidate; the one that `ticket` points to is looked at first, so that
-/// equal ones share the calls.
+/// The candidate with the least cost. The search starts at the index that `ticket`
+/// selects, so that calls spread over candidates of equal cost.
 template <class Cost>
 choice cheapest(std::vector<candidate> const& candidates, std::uint64_t ticket,
                 Cost&& cost)
@@ -84,7 +86,7 @@
                                   std::string const& data_centre, std::uint64_t ticket)
 {
     constexpr double remote_penalty =
-        1.5; // calls in work that a way to another one is worth
+        1.5; // running calls; cost of a hop between data centres
     auto const best = cheapest(candidates, ticket,
                                [&](candidate const& each)
                                {
@@ -102,8 +104,8 @@
 namespace
 {
 
-// ms; above any real wait, so that an engine that wasn't drawn is taken only if no other
-//     one is sound
+// ms; above any real wait, so that an engine outside the sample is chosen only if all
+//     sampled ones are suspects
 constexpr double unsampled_cost = 1e6;
 constexpr double infeasible_cost = std::numeric_limits<double>::infinity();
 
@@ -112,7 +114,7 @@
     return each.server->role == engine_role::prefill;
 }
 
-/// Ways of having one prompt read.
+/// Predicts the time and cost of one prompt's prefill at each engine.
 class prefill_costs
 {
 public:
@@ -143,7 +145,8 @@
         }
     }
 
-    /// How the prompt would be read at `each`.
+    /// The placement of the call at `each`, with the cached parts fetched if that is
+    /// faster.
     placement plan_at(candidate const& each) const
     {
         placement  result{.server = each.server,
@@ -165,7 +168,7 @@
         return result;
     }
 
-    /// What a placement costs: its time, and what it takes from others.
+    /// The cost of a placement in ms: its time plus its cost to other calls.
     double total_cost(candidate const& each, placement const& placed) const
     {
         auto const shared =
@@ -179,7 +182,7 @@
                spread(each) + (is_sampled(each) ? 0.0 : unsampled_cost);
     }
 
-    /// Whether an engine that decodes may read the prompt beside its streams.
+    /// Whether a decode engine may prefill the prompt while its streams run.
     bool may_prefill(candidate const& each, placement const& placed) const
     {
         return !is_prefill_engine(each) &&
@@ -200,8 +203,8 @@
                (each.suspect ? suspect_cost : 0.0);
     }
 
-    /// Whether the call may go there: to an engine that keeps its prompt, or should, or
-    /// was drawn.
+    /// Whether the call considers this engine: it caches a part of the prompt, is a
+    /// rendezvous engine for it, or is in the call's random sample.
     bool is_sampled(candidate const& each) const
     {
         auto const role = is_prefill_engine(each) ? prefill_engines_ : decode_engines_;
@@ -232,7 +235,7 @@
         return is_prefill_engine(each) ? costs_.read_fixed_ms : costs_.beside_fixed_ms;
     }
 
-    /// Tokens that the engine could fetch from the one that keeps most of the prompt.
+    /// Tokens that the engine could fetch from the one that caches most of the prompt.
     std::int64_t fetchable(candidate const& each) const
     {
         bool const other =
@@ -258,10 +261,10 @@
     std::int64_t             own_tokens_;
     std::int64_t             shared_tokens_;
     bool                     has_prefill_engine_ = false;
-    std::int64_t             prefill_engines_ = 0; // engines that read only
-    std::int64_t             decode_engines_ = 0;  // the others
-    bool             cached_anywhere_ = false; // some engine keeps a part of the prompt
-    candidate const* best_cache_ = nullptr;    // has read most of the prompt
+    std::int64_t             prefill_engines_ = 0; // sound engines for prefill only
+    std::int64_t             decode_engines_ = 0;  // the other sound engines
+    bool             cached_anywhere_ = false; // some engine caches a part of the prompt
+    candidate const* best_cache_ = nullptr;    // has computed most of the prompt
     backend_server const* prefill_rendezvous_ = nullptr;
     backend_server const* decode_rendezvous_ = nullptr;
 };
--- a/src/policy/poison_list.hpp
+++ b/src/policy/poison_list.hpp
@@ -1,4 +1,4 @@
-// Requests suspected of crashing the servers that run them.
+// Tracks request contents that may crash the servers that run them.
 //
 // Index: 1 poison_options, 2 poison_verdict, 3 poison_list
 #ifndef MARIGOLDCRANK_POLICY_POISON_LIST_HPP
@@ -18,9 +18,9 @@
 
 struct poison_options
 {
-    std::size_t capacity = 4096; // 4096     contents remembered
-    millis      keep{3'600'000}; // 3600000  after the last crash, ms
-    millis      together{2'000}; // 2000     servers lost within it are lost at once, ms
+    std::size_t capacity = 4096; // 4096     contents; the oldest is dropped beyond it
+    millis      keep{3'600'000}; // 3600000  ms from the last crash until it is dropped
+    millis      together{2'000}; // 2000     ms; servers lost within it are lost together
 
     bool operator==(poison_options const&) const = default;
 };
@@ -29,28 +29,28 @@
 enum class poison_verdict
 {
     innocent,
-    suspect, // one crash: only alone on its server
-    guilty   // two crashes: never again
+    suspect, // one crash: may run only alone on its server
+    guilty   // two crashes: must not run
 };
 
-/// One content and the crashes it was in flight for.
+/// The crashes during which one content was in flight.
 struct poison_entry
 {
-    std::set<std::string>  crashes; // one id a crash, so that peers' news merge
+    std::set<std::string>  crashes; // ids, so that peers' updates merge
     boot_clock::time_point last{};
-    bool                   excused = false; // its server fell together with others
+    bool                   excused = false; // its server was lost together with others
 
     bool operator==(poison_entry const&) const = default;
 };
 
-/// Value type, by content hash. The crashes of one content form a set that only grows, so
-/// that peers' messages may come doubled, late or in any order.
+/// Value type, keyed by content hash. The crashes of one content form a grow-only set, so
+/// that peers' messages may be duplicated, delayed or reordered.
 class poison_list
 {
 public:
     explicit poison_list(poison_options options) : options_(options) {}
 
-    /// Notes a crash. True if it was news.
+    /// Records a crash. True if it was not known.
     bool note(std::string const& content, std::string const& crash,
               boot_clock::time_point now)
     {
@@ -70,8 +70,9 @@
         return true;
     }
 
-    /// A suspect whose server fell together with others may run like any request. The
-    /// crash still counts, so that poison which fell into such a moment stops after two.
+    /// Lets a suspect whose server was lost together with others run like any request.
+    /// The crash still counts, so that poison which ran at such a moment is blocked after
+    /// two.
     void excuse(std::string const& content)
     {
         auto const found = entries_.find(content);
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Clears a suspect that ran to its end alone, or excused. A guilty one stays.
+    /// Clears a suspect that completed alone on its server or is excused. Content with
+    /// two crashes stays blocked.
     void ran_whole(std::string const& content, bool alone)
     {
         auto const found = entries_.find(content);
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Clears a suspect. A guilty one stays.
+    /// Clears a suspect. Content with two crashes stays blocked.
     void clear(std::string const& content)
     {
         auto const found = entries_.find(content);
@@ -123,7 +125,7 @@
     bool operator==(poison_list const&) const = default;
 
 private:
-    static constexpr std::size_t blocking_crashes = 2; // as many as make it guilty
+    static constexpr std::size_t blocking_crashes = 2; // after which content is blocked
 
     void expire(boot_clock::time_point now)
     {
--- a/src/policy/progress_tracker.cpp
+++ b/src/policy/progress_tracker.cpp
@@ -1,4 +1,4 @@
-// Slow engines by observed progress.
+// Detection of slow engines.
 #include "policy/progress_tracker.hpp"
 
 #include "policy/engine_view.hpp"
@@ -10,11 +10,11 @@
 
 namespace
 {
-constexpr std::int64_t averaged_observations = 8; // observations that an average spans
+constexpr std::int64_t averaged_observations = 8; // the weight of a new one is 1/8
 constexpr std::int64_t max_ratio = 64 * engine_view::nominal_speed;
 constexpr std::int64_t percent = 100;
-constexpr millis       halving_interval{5'000}; // without observation: the factor halves
-constexpr std::size_t  min_engines = 3;         // below, a median says nothing
+constexpr millis       halving_interval{5'000}; // ms without an observation
+constexpr std::size_t  min_engines = 3;         // with fewer, the median means nothing
 } // namespace
 
 progress_tracker::progress_tracker(route_options options) : options_(options) {}
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -1,4 +1,4 @@
-// Retries within a budget.
+// Retry decision.
 #include "policy/retry.hpp"
 
 namespace marigoldcrank
@@ -7,7 +7,8 @@
 namespace
 {
 constexpr std::int64_t percent = 100;
-constexpr std::int64_t free_retries = 20; // a quiet entry VM may retry at all
+constexpr std::int64_t free_retries =
+    20; // so that an entry VM with few requests can retry
 
 retry_decision refuse(refusal_cause cause, retry_input const& input)
 {
--- a/src/policy/retry.hpp
+++ b/src/policy/retry.hpp
@@ -1,4 +1,4 @@
-// Whether a request whose engine failed is tried again.
+// Decides whether a request whose engine failed is retried.
 //
 // Index: 1 retry_input, 2 retry_decision, 3 judge_retry
 #ifndef MARIGOLDCRANK_POLICY_RETRY_HPP
@@ -12,14 +12,14 @@
 namespace marigoldcrank
 {
 
-/// What a retry is judged by.
+/// Inputs of a retry decision.
 struct retry_input
 {
     bool         repeatable = true;
-    std::int64_t attempts = 1;        // made so far
-    std::int64_t content_crashes = 0; // engines that crashed with this content in flight
-    bool         alone = false;       // it ran alone on the engine that crashed
-    std::int64_t recent_requests = 0; // of this entry VM, in its window
+    std::int64_t attempts = 1;        // so far
+    std::int64_t content_crashes = 0; // crashes with this content in flight
+    bool         alone = false;       // the last attempt ran alone on its engine
+    std::int64_t recent_requests = 0; // of this entry VM in its window
     std::int64_t recent_retries = 0;
 
     bool operator==(retry_input const&) const = default;
@@ -28,7 +28,7 @@
 enum class retry_verdict
 {
     again,
-    again_alone, // on an engine without other work: its content is a suspect
+    again_alone, // on an engine without other work, as its content is a suspect
     refuse
 };
 
@@ -41,10 +41,10 @@
     bool operator==(retry_decision const&) const = default;
 };
 
-/// A budget bounds retries to a share of requests, so that the loss of a zone does not
-/// double the load on what is left. Content that was in flight at a crash is a suspect
-/// and runs again only alone; crashing a server alone convicts it, since an innocent
-/// neighbour of a poison request has then been told apart from it.
+/// Decides on one retry. A budget limits retries to a share of requests, so that the loss
+/// of a zone does not double the load on the remaining engines. Content in flight at a
+/// crash is a suspect and is retried only alone on an engine. If that engine crashes too,
+/// the content is treated as poison: no other request can have caused the crash.
 retry_decision judge_retry(retry_input const& input, admission_options const& options);
 
 } // namespace marigoldcrank
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -1,4 +1,4 @@
-// How many retries an entry VM may add to the load of its backend servers.
+// Limits the retries that an entry VM adds to the load of its backend servers.
 //
 // Index: 1 retry_budget_options, 2 retry_budget
 #ifndef MARIGOLDCRANK_POLICY_RETRY_BUDGET_HPP
@@ -12,15 +12,15 @@
 
 struct retry_budget_options
 {
-    std::int64_t percent = 10; // 10  retries per hundred admitted requests
-    std::int64_t burst = 64;   // 64  retries saved up while nothing fails
+    std::int64_t percent = 10; // 10  retries per 100 admitted requests
+    std::int64_t burst = 64;   // 64  most retries that accumulate while nothing fails
 
     bool operator==(retry_budget_options const&) const = default;
 };
 
-/// A token bucket, filled by admitted requests and not by time: when half the engines
-/// fail, retries grow with the failures, and without a bound the rest gets the load of
-/// all plus the retries, fails as well, and never recovers. Value type.
+/// A token bucket that is filled by admitted requests and not by time. When half the
+/// engines fail, retries grow with the failures; without a limit the remaining engines
+/// get the whole load plus the retries, fail as well, and never recover. Value type.
 class retry_budget
 {
 public:
@@ -29,7 +29,7 @@
     {
     }
 
-    /// Takes over another share; what is saved up stays within it.
+    /// Sets new options and cuts the accumulated retries down to the new burst.
     void limit(retry_budget_options options) noexcept
     {
         options_ = options;
@@ -42,7 +42,7 @@
             std::min(hundredths_ + options_.percent, options_.burst * units_per_retry);
     }
 
-    /// True if one more retry fits in; it is then counted.
+    /// Takes one retry from the budget; false if there is none.
     bool take() noexcept
     {
         if (hundredths_ < units_per_retry)
@@ -59,7 +59,7 @@
     static constexpr std::int64_t units_per_retry = 100;
 
     retry_budget_options options_;
-    std::int64_t         hundredths_; // of a retry
+    std::int64_t         hundredths_; // hundredths of a retry
 };
 
 } // namespace marigoldcrank
--- a/src/policy/retry_gate.hpp
+++ b/src/policy/retry_gate.hpp
@@ -1,10 +1,11 @@
-// Holds back calls to a dependency that fails, longer each time.
+// Exponential backoff for calls to a dependency that fails.
 //
 // Index: 1 retry_gate_options, 2 patient_retries, 3 retry_gate
 //
-// Load answered: an outage of the store, in which every VM of a large fleet would call it
-// several times a second for each topic. Of 8,100 calls of a day with two outages at 84
-// VMs, members' failing reads and appends were 5,000.
+// It limits the load during an outage of the store, when every VM of a large fleet would
+// otherwise call the store several times a second for each topic. With 84 VMs and two
+// outages in a day, 5,000 of 8,100 store calls were failing reads and appends of VMs
+// other than relays.
 #ifndef MARIGOLDCRANK_POLICY_RETRY_GATE_HPP
 #define MARIGOLDCRANK_POLICY_RETRY_GATE_HPP
 
@@ -17,18 +18,18 @@
 
 struct retry_gate_options
 {
-    millis initial_pause{500}; // 500   ms; after the first failure
+    millis initial_pause{500}; // 500   ms; pause after the first failure
     millis max_pause{
-        2000}; // 2000  ms; a VM is back that long after the outage at the latest
+        2000}; // 2000  ms; a VM calls again at most this long after the outage
 
     bool operator==(retry_gate_options const&) const = default;
 };
 
-/// For calls that other VMs make too, and tell this one of.
+/// Pauses for calls whose results other VMs also obtain and pass on to this one.
 constexpr retry_gate_options patient_retries{.initial_pause = millis{1000},
                                              .max_pause = millis{8000}};
 
-/// Pure; time is passed in.
+/// Does no I/O; the caller passes in the time.
 class retry_gate
 {
 public:
@@ -42,7 +43,7 @@
         return now >= closed_until_;
     }
 
-    /// Takes over other pauses, from the next failure on.
+    /// Sets new pauses, which apply from the next failure on.
     void limit(retry_gate_options const& options) noexcept
     {
         options_ = options;
@@ -61,10 +62,10 @@
         pause_ = options_.initial_pause;
     }
 
-    /// Whether a VM that asks relays has to wait before it reads the store in their
-    /// place. Only if the store is away for the relays as well: a VM that was cut off
-    /// alone must be back at once, before it sends calls to servers that have left
-    /// meanwhile.
+    /// Whether a VM that normally reads through relays must wait before it reads the
+    /// store itself. It waits only if the relays have lost the store as well. A VM that
+    /// alone lost its connection must read at once, before it sends calls to servers that
+    /// have left in the meantime.
     bool holds_back(bool relays_lost_store, boot_clock::time_point now) const noexcept
     {
         return relays_lost_store && !open(now);
--- a/src/policy/route.cpp
+++ b/src/policy/route.cpp
@@ -13,7 +13,7 @@
 {
 constexpr std::int64_t percent = 100;
 constexpr std::int64_t half = 2;
-constexpr std::int64_t max_counted_misses = 5; // more missed reports tell nothing more
+constexpr std::int64_t max_counted_misses = 5; // misses beyond it carry no information
 constexpr int          fraction_bits = engine_speed::fraction_bits;
 
 bool is_excluded(std::span<std::uint32_t const> excluded, std::uint32_t engine)
@@ -28,13 +28,13 @@
     {
         return false;
     }
-    // A long prompt's step delays every stream in the batch beyond its target.
+    // The step of a long prompt delays every stream in the batch beyond its target.
     return !(long_prompt && view.use == engine_use::decode);
 }
 
-/// The cost by which engines are compared: total_us and extra_cost_us of the reason, but
-/// for rounding. Shifts instead of divisions, and nothing that only the winner needs: a
-/// scan of 475 engines has 5 microseconds.
+/// The cost by which engines are compared: total_us plus extra_cost_us of the reason,
+/// except for rounding. It uses shifts instead of divisions and leaves out what only the
+/// chosen engine needs, since a scan of 475 engines must take at most 5 microseconds.
 class cost_model
 {
 public:
@@ -112,12 +112,12 @@
     std::int64_t          interference_fraction_;
 };
 
-/// The best two by cost.
+/// Keeps the two engines with the lowest cost.
 struct ranking
 {
     engine_decision decision;
     std::int64_t    best_cost = std::numeric_limits<std::int64_t>::max();
-    std::int64_t    hit_tokens = 0; // of the best
+    std::int64_t    hit_tokens = 0; // of the best engine
 
     void offer(std::uint32_t engine, std::int64_t cost, std::int64_t hits)
     {
@@ -223,7 +223,7 @@
     return places * fill_percent / percent - streams;
 }
 
-// 3. The live request path's form
+// 3. Choice for the live request path
 
 namespace
 {
@@ -249,8 +249,8 @@
     take_report(view, {reported, sample_of(view, now_us, speed), age}, request.entries,
                 now_us, speed, options);
     view.slowdown = server.slowdown;
-    // A frozen or cut-off server reports nothing; what it does not report counts against
-    // it, or it would look as busy as others and be chosen like them.
+    // A frozen or unreachable server sends no reports. Missed reports count as failures;
+    // otherwise it would look as busy as the others and be chosen like them.
     auto const counted_failures =
         server.failures + std::min(server.missed_reports, max_counted_misses);
     view.failures = static_cast<std::int32_t>(counted_failures);
--- a/src/policy/send_account.hpp
+++ b/src/policy/send_account.hpp
@@ -1,11 +1,11 @@
-// What a call's sends have come to, and whether it may be sent once more.
+// The outcomes of a call's attempts so far, and whether another attempt is allowed.
 //
 // Index: 1 exchange_fate, 2 send_terms, 3 send_account
 //
-// Failures guarded against: a call that may not be repeated runs twice; a refusal says
-// "not run" of a call that may have run; a call goes round full or unreachable servers
-// until its caller's time is over, which shows as a flood of arrivals at what is left of
-// a service.
+// It prevents that a call which must not be repeated runs twice, that a refusal reports
+// "not run" for a call that may have run, and that a call tries full or unreachable
+// servers until its deadline, which would flood the remaining servers of a service with
+// requests.
 #ifndef MARIGOLDCRANK_POLICY_SEND_ACCOUNT_HPP
 #define MARIGOLDCRANK_POLICY_SEND_ACCOUNT_HPP
 
@@ -14,13 +14,13 @@
 namespace marigoldcrank
 {
 
-/// What is known of a send.
+/// The known outcome of an attempt.
 enum class exchange_fate
 {
-    answered, // an answer of this call, by this server
-    not_sent, // no byte of it has left: no connection could be had
-    not_run,  // the server states that it has not run it
-    unknown   // sent, and no valid answer came: it may have run
+    answered, // the server returned a response to this call
+    not_sent, // no byte was sent: no connection could be made
+    not_run,  // the server states that it did not run it
+    unknown   // sent without a valid response: it may have run
 };
 
 inline char const* exchange_fate_name(exchange_fate value)
@@ -39,21 +39,21 @@
     return "unknown";
 }
 
-/// What the rules allow for a call.
+/// Limits that the rules set for a call.
 struct send_terms
 {
     bool         repeatable = false; // may run more than once
-    std::int64_t max_servers = 1;    // servers that may run it, one after the other
+    std::int64_t max_servers = 1;    // servers that may run it, one after another
 
     bool operator==(send_terms const&) const = default;
 };
 
-/// Counts the sends of one call. Pure value; time and the shared retries are the
-/// caller's.
+/// Counts the attempts of one call. Value type; the deadline and the shared retry budget
+/// are checked elsewhere.
 class send_account
 {
 public:
-    /// Whether the call may go to a server (once more), as far as its own sends decide.
+    /// Whether another attempt is allowed by the attempts so far.
     bool allows(send_terms const& terms) const
     {
         if (failed_connects_ >= max_failed_connects || refusals_ > max_refusals)
@@ -64,19 +64,20 @@
         return may_repeat && runs_ < terms.max_servers;
     }
 
-    /// True if the next send is one arrival more than the call's first.
+    /// True if an earlier attempt reached a server, so that the next one counts as a
+    /// retry.
     bool is_retry() const
     {
         return runs_ + refusals_ > 0;
     }
 
-    /// The call goes to a server.
+    /// Begins an attempt.
     void begin()
     {
         ++runs_;
     }
 
-    /// How the send that was begun last has ended.
+    /// Records the outcome of the last attempt.
     void end(exchange_fate fate)
     {
         bool const ran =
@@ -87,19 +88,20 @@
         maybe_run_ = maybe_run_ || ran;
     }
 
-    /// A server got the read of the prompt, which runs nothing, and brought no handle.
+    /// Records that a prefill request returned no KV handle. Prefill alone does not run
+    /// the call.
     void read_failed()
     {
         ++refusals_;
     }
 
-    /// True if 503 would be a lie.
+    /// True if the call may have run, so that status 503 would be wrong.
     bool maybe_run() const
     {
         return maybe_run_;
     }
 
-    /// Servers that may have run it, the one it is at included.
+    /// Attempts that may have run the call, including the current one.
     std::int64_t runs() const
     {
         return runs_;
@@ -108,12 +110,13 @@
     bool operator==(send_account const&) const = default;
 
 private:
-    // 1  further send after a server has turned the call away: a second refusal says that
-    //    the service is full, and the caller is told to come back
+    // 1  refusal after which the call is sent again; a second one shows that the service
+    // is
+    //    full, and the caller is asked to retry later
     static constexpr std::int64_t max_refusals = 1;
-    // 4  connections that couldn't be had: then the service is out of reach, and the
-    // caller
-    //    is told so while it still has time to come back
+    // 4  failed connections, after which the service counts as unreachable and the caller
+    // is
+    //    told so while it still has time to retry
     static constexpr std::int64_t max_failed_connects = 4;
 
     std::int64_t runs_ = 0;
--- a/src/policy/server_health.hpp
+++ b/src/policy/server_health.hpp
@@ -1,6 +1,6 @@
-// Which servers to avoid for a while, judged by the outcomes of our own calls.
+// Tracks which servers to avoid for a while, by the outcomes of calls to them.
 //
-// Index: server_health_options, server_health
+// Index: 1 server_health_options, 2 server_health
 #ifndef MARIGOLDCRANK_POLICY_SERVER_HEALTH_HPP
 #define MARIGOLDCRANK_POLICY_SERVER_HEALTH_HPP
 
@@ -16,21 +16,21 @@
 
 struct server_health_options
 {
-    int    failure_threshold = 2; // 2     failures in a row before a server is avoided
+    int    failure_threshold = 2; // 2     consecutive failures before a server is avoided
     millis first_pause{500};      // 500   ms; doubles with each further failure
-    millis refused_pause{250};    // 250   ms; a full server has places again within this
-    millis longest_pause{4000};   // 4000 ms; a server that is back is found within this
-    // 1000  ms; a server that doesn't do what its entry says writes a new one within this
+    millis refused_pause{250}; // 250   ms; a full server has free slots again within this
+    millis longest_pause{4000}; // 4000 ms; a recovered server is tried again within this
+    // 1000  ms; a server that does not match its entry writes a new entry within this
     millis changed_pause{1000};
-    // 50    ms; a shorter rest of a pause isn't worth telling other VMs of
+    // 50    ms; a shorter remaining pause is not worth publishing
     millis min_published{50};
 
     bool operator==(server_health_options const&) const = default;
 };
 
-/// A server's own health answer may be false, so only outcomes count. A suspect is the
-/// last choice and not excluded: if all fail, calls still go somewhere. Pure; time is
-/// passed in.
+/// Only outcomes of calls count, since a server's own health report may be wrong. An
+/// avoided server is the last choice but not excluded, so that calls still go somewhere
+/// if all servers fail. Does no I/O; the caller passes in the time.
 class server_health
 {
 public:
@@ -41,8 +41,9 @@
         states_.erase(server);
     }
 
-    /// A failure that says something of the server. `lost`: its connection could not be
-    /// had or has ended, which counts at once and is told to other VMs.
+    /// Records a failure that is attributed to the server. `lost`: its connection could
+    /// not be made or was closed. The server is then avoided at once, and other VMs are
+    /// informed.
     void failed(std::string const& server, bool lost, boot_clock::time_point now)
     {
         auto& state = states_[server];
@@ -61,21 +62,21 @@
         }
     }
 
-    /// The server has turned a call away: it is full or about to change, not faulty. It
-    /// is left alone for a moment and not for longer each time.
+    /// Records that the server refused a call: it is full or about to change, not faulty.
+    /// It is avoided for a fixed short pause without backoff.
     void refused(std::string const& server, boot_clock::time_point now)
     {
         pause(server, now + options_.refused_pause);
     }
 
-    /// The server isn't the one, or not in the role, that its entry names.
+    /// Records that the server is not the one, or not in the role, that its entry names.
     void changed(std::string const& server, boot_clock::time_point now)
     {
         pause(server, now + options_.changed_pause);
         states_[server].published[news_source::own] = now + options_.changed_pause;
     }
 
-    /// Another VM has found the server lost, and leaves it alone for so long.
+    /// Merges another VM's update: that VM avoids the server for `left`.
     void hear(std::string const& server, millis left, news_source source,
               boot_clock::time_point now)
     {
@@ -84,8 +85,8 @@
         states_[server].published[source] = until;
     }
 
-    /// Servers that other VMs should leave alone, and for how long, as far as `widest`
-    /// goes.
+    /// Servers that other VMs should avoid and for how long, from the sources up to
+    /// `widest`.
     std::map<std::string, millis> news(news_source            widest,
                                        boot_clock::time_point now) const
     {
@@ -121,10 +122,10 @@
 
     struct server_state
     {
-        int                    count = 0; // failures in a row
-        boot_clock::time_point until{};   // left alone
+        int                    count = 0; // consecutive failures
+        boot_clock::time_point until{};   // end of the pause
         std::map<news_source, boot_clock::time_point>
-            published; // what others should hear
+            published; // end of the pauses to publish, by source
     };
 
     void pause(std::string const& server, boot_clock::time_point until)
--- a/src/policy/target_judgement.cpp
+++ b/src/policy/target_judgement.cpp
@@ -1,4 +1,4 @@
-// Judgement of service targets.
+// Evaluation of latency targets.
 #include "policy/target_judgement.hpp"
 
 #include <algorithm>
--- a/src/policy/wait_judgement.hpp
+++ b/src/policy/wait_judgement.hpp
@@ -1,11 +1,11 @@
-// Whether a model call may wait for its prompt to be read, or is turned away at once.
+// Decides whether a model call may wait for its prefill or is refused at once.
 //
 // Index: 1 wait_options, 2 wait_input, 3 retry_after_if_late
 //
-// Load answered: a swing that asks for more reading than the engines can do. Queues for
-// reading then grow until every call in them is late, and each call that is given up in
-// the queue has held up those behind it. A call that would be served far too late is
-// refused while its caller still has time to come back.
+// When the load needs more prefill than the engines can do, the prefill queues grow until
+// every call in them is late, and each call whose caller gives up has delayed those
+// behind it. A call that would be served far too late is therefore refused while its
+// caller still has time to retry.
 #ifndef MARIGOLDCRANK_POLICY_WAIT_JUDGEMENT_HPP
 #define MARIGOLDCRANK_POLICY_WAIT_JUDGEMENT_HPP
 
@@ -21,12 +21,11 @@
 
 struct wait_options
 {
-    // 2.5   times its objective, the first token's longest predicted wait: later answers
-    //       are still worth something, but cost those behind them more. At 1.5 the share
-    //       of worth served in a day fell from 0.852 to 0.847, and the share refused rose
-    //       from 0.001 to 0.005
+    // 2.5   times the objective; longest predicted time to the first token. Later
+    // responses
+    //       are still worth something, but delay the calls behind them by more than that
     double longest_wait = 2.5;
-    // 250 and 2000  ms; bounds of the time after which a caller is asked to come back
+    // 250 and 2000  ms; limits of the retry delay that the caller is given
     millis min_retry_after{250};
     millis latest{2000};
 
@@ -36,13 +35,14 @@
 struct wait_input
 {
     placement placed;
-    bool      observed = false; // the placement's times come from an observed speed
-    millis    objective{0};     // to the first token; 0: none
-    millis    left{0};          // until the caller gives up
+    bool      observed = false; // the placement's times use an observed speed
+    millis    objective{0};     // for the first token; 0: none
+    millis    left{0};          // until the call's deadline
 };
 
-/// When the caller should come back; nothing if the call may wait. The time is that after
-/// which the tokens ahead will have been read down to the objective.
+/// The delay after which the caller should retry; nothing if the call may wait. By then
+/// the prefill queue will have shrunk so far that the predicted wait is within the
+/// objective.
 inline std::optional<millis> retry_after_if_late(wait_input const&   input,
                                                  wait_options const& options)
 {
@@ -54,7 +54,7 @@
     auto const objective = static_cast<double>(input.objective.count());
     auto const limit = std::min(objective * options.longest_wait,
                                 static_cast<double>(input.left.count()));
-    // A prompt that is long by itself is served whenever it is next.
+    // A call with a short queue ahead is not refused for its own long prompt.
     bool const next = input.placed.wait_ms < objective;
     if (wait_ms <= limit || next)
     {
--- a/tests/property/policy_property_test.cpp
+++ b/tests/property/policy_property_test.cpp
@@ -1,4 +1,4 @@
-// Properties of the policies.
+// Properties of the limits, fair shares, spending plan and engine choice.
 //
 // Index: 1 limits shared by entry VMs, 2 fair level, 3 spending, 4 routing
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 constexpr std::size_t entry_count = 4;
 
-/// A message on its way, or lost, or late.
+/// A message in transit, which may be lost, delayed or duplicated.
 struct message
 {
     std::size_t to = 0;
@@ -37,7 +37,7 @@
         {
             start(entry);
         }
-        now += terms.loan + terms.drift; // all have been up for a while
+        now += terms.loan + terms.drift; // all have been running for longer than a loan
     }
 
     void start(std::size_t entry)
@@ -102,9 +102,9 @@
 
 // 1. Limits
 
-// A workspace is billed for more than its limit: entry VMs that are cut off from each
-// other, restarted, or reached by late and repeated messages each go on using a share
-// that another uses as well. Shares must never add up to more than the limit.
+// A workspace would be billed for more than its limit if two entry VMs used the same
+// share at once, after a network partition, a restart, or late or repeated messages. The
+// shares must never add up to more than the limit.
 RC_GTEST_PROP(limit_book, shares_never_add_up_to_more_than_the_limit, ())
 {
     limit_world world({.entries = static_cast<std::int64_t>(entry_count)});
@@ -134,7 +134,8 @@
             world.deliver(static_cast<std::size_t>(value), false);
             break;
         case 3:
-            world.deliver(static_cast<std::size_t>(value), true); // it will come again
+            world.deliver(static_cast<std::size_t>(value),
+                          true); // it is delivered again later
             break;
         case 4:
             world.now += millis{value / 4};
@@ -179,12 +180,13 @@
         given += std::min(demand.offered, level * demand.weight);
     }
     RC_ASSERT(given <= capacity);
-    RC_ASSERT(given + weights >= capacity); // all of it, but for rounding
+    RC_ASSERT(given + weights >= capacity); // all of it, except for rounding
 }
 
 // 3. Spending
 
-// A zone of cheap servers vanishes: what is left must carry the load, fuller.
+// All cheap servers of a zone are lost: the remaining servers must carry the load at a
+// higher utilization.
 RC_GTEST_PROP(plan_spending, survives_the_loss_of_any_cheap_zone, ())
 {
     spending_input input;
@@ -217,7 +219,7 @@
 
 // 4. Routing
 
-RC_GTEST_PROP(choose_engine, never_chooses_a_disallowed_engine, ())
+RC_GTEST_PROP(choose_engine, never_takes_a_forbidden_engine, ())
 {
     auto const               count = *rc::gen::inRange(1, 30);
     std::vector<engine_view> views(static_cast<std::size_t>(count));
--- a/tests/property/send_account_property_test.cpp
+++ b/tests/property/send_account_property_test.cpp
@@ -1,4 +1,4 @@
-// Sends of one call, whatever becomes of each.
+// Attempts of one call with any outcome of each, and streams resumed at another server.
 //
 // Index: 1 send_account, 2 stream_relay
 #include "policy/send_account.hpp"
@@ -49,13 +49,13 @@
         account.end(any_fate());
         ++attempts;
         RC_ASSERT(attempts <=
-                  terms.max_servers + 2 + 4); // runs, refusals, failed connects
+                  terms.max_servers + 2 + 4); // runs, refusals, failed connections
         RC_ASSERT(account.runs() <= terms.max_servers);
     }
 }
 
-// An answer breaks off after its head: the send is settled a second time, and is still
-// one.
+// A response breaks off after its head: the attempt's outcome is recorded a second time,
+// but it must count as one attempt.
 TEST(send_account, an_interrupted_response_counts_once)
 {
     send_account account;
@@ -92,15 +92,15 @@
     return "id: " + std::to_string(number) + "\ndata: x\n\n";
 }
 
-/// The text without its head.
+/// The response text without its head.
 std::string body_of(std::string const& text)
 {
     auto const end = text.find("\r\n\r\n");
     return end == std::string::npos ? text : text.substr(end + 4);
 }
 
-// A server breaks off within an event, at any byte; another one goes on behind the last
-// whole one. The caller must get each event once, and one head.
+// A server fails at any byte within an event, and another one continues after the last
+// complete event. The caller must get each event once, and a single head.
 RC_GTEST_PROP(stream_relay, a_resumed_stream_equals_an_unbroken_one, ())
 {
     stream_relay relay(true, false);
--- a/tests/unit/crash_watch_test.cpp
+++ b/tests/unit/crash_watch_test.cpp
@@ -1,4 +1,5 @@
-// Requests that crash servers, and those that only were there when one crashed.
+// Detection of requests that crash servers, as opposed to those in flight at another
+// crash.
 #include "policy/crash_watch.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +19,7 @@
     return {.content = "c", .server = server, .call_id = call};
 }
 
-/// All that `from` tells reaches `to`.
+/// Delivers all updates that `from` publishes to `to`.
 void deliver(crash_watch& from, crash_watch& to, int ms)
 {
     for (auto const& each : from.news(at(ms)))
@@ -34,16 +35,16 @@
     EXPECT_TRUE(one.crashed(crash("s1", "1"), at(0)));
     deliver(one, other, 150);
     EXPECT_FALSE(other.guilty("c", at(150)));
-    EXPECT_TRUE(other.crashed(crash("s1", "2"), at(1000))); // started again under its id
+    EXPECT_TRUE(other.crashed(crash("s1", "2"), at(1000))); // restarted under the same id
     deliver(other, one, 1150);
     EXPECT_TRUE(one.guilty("c", at(1150)));
     EXPECT_TRUE(other.guilty("c", at(1150)));
     EXPECT_FALSE(one.guilty("c", at(62'000)));
 }
 
-// Two clerks look at the same claim when its server crashes for another reason. Both
-// calls end at once, at two VMs. Counted as two crashes, the lookup would be refused for
-// a minute.
+// Two callers send the same request when its server crashes for another reason, and both
+// calls end at once, at two VMs. If they counted as two crashes, the request would be
+// refused for a minute.
 TEST(crash_watch, calls_broken_by_one_server_crash_count_once)
 {
     crash_watch one;
@@ -60,8 +61,9 @@
     }
 }
 
-// A lookup is reset now and then, and each time answered by another server. It crashes
-// nothing; without the answers counting, the second reset within a minute would stop it.
+// A harmless request loses its connection now and then, and another server completes it
+// each time. If complete responses did not clear it, the second lost connection within a
+// minute would block it.
 TEST(crash_watch, a_complete_response_clears_a_suspect_on_all_vms)
 {
     crash_watch one;
--- a/tests/unit/retry_gate_test.cpp
+++ b/tests/unit/retry_gate_test.cpp
@@ -1,4 +1,4 @@
-// How a dependency that fails is called less and less, and again at once when it is back.
+// Backoff for a failing dependency, and recovery when it is back.
 #include "policy/retry_gate.hpp"
 
 #include <gtest/gtest.h>
@@ -8,8 +8,8 @@
 namespace
 {
 
-// The store is away for eight seconds and a VM looks every 100 ms: it is called a few
-// times, not eighty, and within two seconds of its return.
+// The store is unavailable for eight seconds and a VM polls every 100 ms: the store must
+// be called a few times, not 80, and within two seconds of its return.
 TEST(retry_gate, pauses_grow_while_a_dependency_fails)
 {
     retry_gate             gate;
@@ -29,8 +29,8 @@
     EXPECT_TRUE(gate.open(now + retry_gate_options{}.max_pause));
 }
 
-// Hundreds of VMs that hear of the store through relays each probe an outage of the store
-// themselves; the relays alone find its return soon enough.
+// Hundreds of VMs that read the store through relays would each probe it during an
+// outage, although the relays alone notice its return soon enough.
 TEST(retry_gate, slow_retries_probe_an_outage_rarely_and_open_on_success)
 {
     retry_gate             gate{patient_retries};
@@ -50,8 +50,8 @@
     EXPECT_TRUE(gate.open(now));
 }
 
-// A VM becomes a relay while its gate is patient: its pauses must follow at once, since
-// others wait for what it appends.
+// A VM becomes a relay while its gate has long pauses. They must become shorter at once,
+// since other VMs wait for the records that it appends.
 TEST(retry_gate, limit_shortens_a_grown_pause)
 {
     retry_gate             gate{patient_retries};
@@ -75,9 +75,9 @@
     EXPECT_TRUE(gate.open(now));
 }
 
-// A VM is cut off from the store and from its relays, and a server leaves meanwhile. Back
-// again, it has to learn of that before it counts as in touch: held back for two seconds
-// more, it sent calls there 13 s after the notice.
+// A VM loses the store and its relays, and a server leaves in the meantime. When the VM
+// is connected again, it must learn of that first: held back for two seconds more, it
+// sent calls to that server 13 s after the notice.
 TEST(retry_gate, a_vm_that_alone_lost_the_store_does_not_wait)
 {
     retry_gate             gate;
--- a/tests/unit/server_health_news_test.cpp
+++ b/tests/unit/server_health_news_test.cpp
@@ -1,6 +1,6 @@
-// What VMs tell each other of lost servers.
+// Updates that VMs publish to each other about lost servers.
 //
-// Index: 1 telling, 2 hearing
+// Index: 1 publishing, 2 receiving
 #include "policy/server_health.hpp"
 
 #include <gtest/gtest.h>
@@ -15,10 +15,10 @@
     return boot_clock::time_point{std::chrono::hours{1}} + millis{ms};
 }
 
-// 1. Telling
+// 1. Publishing
 
-// Engines that go down and up by turns cost every VM of a large fleet two failed sends
-// each, and the retries that all VMs share are gone within seconds.
+// Without updates, engines that go down and up by turns cost every VM of a large fleet
+// two failed attempts each, which uses up the shared retry budget within seconds.
 TEST(server_health_news, a_lost_server_is_avoided_and_published_at_once)
 {
     server_health health;
@@ -30,8 +30,8 @@
     EXPECT_TRUE(health.news(news_source::own, at(499)).empty());
 }
 
-// A full server has places again soon, and one failed answer says little: other VMs would
-// leave sound servers alone.
+// A full server has free slots again soon, and a single failed response says little. If
+// they were published, other VMs would avoid sound servers.
 TEST(server_health_news, full_servers_and_single_failures_are_not_published)
 {
     server_health health;
@@ -42,9 +42,10 @@
     EXPECT_EQ(health.news(news_source::own, at(1)).count("other_role"), 1U);
 }
 
-// 2. Hearing
+// 2. Receiving
 
-// Relays that tell each other what they heard would keep a server out for ever.
+// Relays that passed received updates back to each other would keep a server avoided
+// forever.
 TEST(server_health_news, updates_from_other_data_centres_are_not_sent_back)
 {
     server_health relay;
--- a/tests/unit/target_judgement_test.cpp
+++ b/tests/unit/target_judgement_test.cpp
@@ -1,4 +1,4 @@
-// Judgement of targets, and the report's page.
+// Evaluation of latency targets, and the report page.
 #include "app/report_page.hpp"
 #include "policy/target_judgement.hpp"
 
