--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -12,8 +12,8 @@
 constexpr std::int64_t micros_per_milli = 1'000;
 constexpr std::int64_t min_retry_ms = 1'000;
 constexpr std::int64_t virtual_scale = 1'024;
-constexpr std::int64_t idle_time_percent =
-    125; // of the time on an idle engine, for long prompts
+// 125  % of the time on an idle engine, as the limit for long prompts
+constexpr std::int64_t idle_time_percent = 125;
 } // namespace
 
 // 1. Decision
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -80,9 +80,8 @@
 
     std::set<queue_key>                   order_;
     std::map<std::uint64_t, std::int64_t> start_of_;
-    std::map<std::uint32_t, std::int64_t>
-                 finish_of_; // virtual finish of each workspace's last item
-    std::int64_t virtual_time_ = 0;
+    std::map<std::uint32_t, std::int64_t> finish_of_; // of each workspace's last item
+    std::int64_t                          virtual_time_ = 0;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/crash_watch.hpp
+++ b/src/policy/crash_watch.hpp
@@ -1,5 +1,4 @@
-// Detects requests that crash the servers that run them, from the crashes that all VMs
-// see.
+// Detects requests that crash servers, from the crashes that all VMs see.
 //
 // Index: 1 crash_news, 2 crash_watch_options, 3 crash_watch
 //
@@ -35,13 +34,15 @@
 
 struct crash_watch_options
 {
-    millis merge_window{250}; // 250   ms; calls of one content that end within it at one
-                              // server are one crash
-    millis publish_for{3000}; // 3000  ms; an update is repeated in about 20 digests, so a
-                              // lost digest does no harm
-    millis      keep{60000};  // 60000 ms; a crashing request is repeated within seconds
-    std::size_t max_published = 64; // 64  updates in a digest; after the loss of a busy
-                                    // server most concern harmless calls
+    // 250   ms; calls of one content that end so close at one server are one crash
+    millis merge_window{250};
+    // 3000  ms; each update is repeated in about 20 digests, so a lost one does no harm
+    millis publish_for{3000};
+    // 60000 ms; a crashing request is repeated within seconds
+    millis keep{60000};
+    // 64    updates in a digest; after the loss of a busy server most concern calls that
+    //       did no harm
+    std::size_t max_published = 64;
 
     bool operator==(crash_watch_options const&) const = default;
 };
--- a/src/policy/pause_watch.hpp
+++ b/src/policy/pause_watch.hpp
@@ -1,5 +1,4 @@
-// Tracks how long the pauses in streams are, compared with the promised limit, and sets
-// how many prefill tokens may be queued at decode engines.
+// Limits the prefill queued at decode engines by the pauses that their streams show.
 //
 // Index: 1 pause_watch_options, 2 pause_watch
 //
@@ -52,11 +51,11 @@
         {
             return;
         }
-        constexpr double max_ratio =
-            2; // longer pauses come from lost engines, not from prefill
-        auto const share = std::min(std::chrono::duration<double>(longest_pause) /
-                                        std::chrono::duration<double>(promised),
-                                    max_ratio);
+        // 2  times the promise; longer pauses come from lost engines, not from prefill
+        constexpr double max_ratio = 2;
+        auto const       share = std::min(std::chrono::duration<double>(longest_pause) /
+                                              std::chrono::duration<double>(promised),
+                                          max_ratio);
         pause_ratio_ += options_.step * (share > pause_ratio_ ? options_.quantile
                                                               : options_.quantile - 1);
         pause_ratio_ = std::clamp(pause_ratio_, 0.0, max_ratio);
@@ -87,8 +86,7 @@
     }
 
 private:
-    static constexpr std::int64_t min_events =
-        3; // with fewer there is no pause to measure
+    static constexpr std::int64_t min_events = 3; // with fewer there is no pause
 
     pause_watch_options options_;
     double              pause_ratio_;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -1,4 +1,4 @@
-// Placement by cost: predicted milliseconds until the call's prompt is read.
+// Placement by cost in milliseconds until the prompt is read.
 //
 // Index: 1 shared, 2 plain, 3 model
 #include "policy/placement.hpp"
@@ -16,8 +16,8 @@
 
 // 1. Shared
 
-constexpr double suspect_cost =
-    1e9; // above any real cost, so that suspects are chosen last
+// 1e9  ms; above any real cost, so that suspects are chosen last
+constexpr double suspect_cost = 1e9;
 
 /// Rendezvous hashing: all VMs rank the engines for a prompt part alike without messages.
 std::uint64_t rendezvous_rank(std::string_view part, std::string const& id)
@@ -85,11 +85,11 @@
 backend_server const* place_plain(std::vector<candidate> const& candidates,
                                   std::string const& data_centre, std::uint64_t ticket)
 {
-    constexpr double remote_penalty =
-        1.5; // running calls; cost of a hop between data centres
-    auto const best = cheapest(candidates, ticket,
-                               [&](candidate const& each)
-                               {
+    // 1.5  running calls; cost of a hop to another data centre
+    constexpr double remote_penalty = 1.5;
+    auto const       best = cheapest(candidates, ticket,
+                                     [&](candidate const& each)
+                                     {
                                    bool const near =
                                        each.server->data_centre == data_centre;
                                    return static_cast<double>(each.load.running) +
@@ -104,8 +104,8 @@
 namespace
 {
 
-// ms; above any real wait, so that an engine outside the sample is chosen only if all
-//     sampled ones are suspects
+// 1e6  ms; above any real wait, so that an engine outside the sample is chosen only if
+//      all sampled ones are suspects
 constexpr double unsampled_cost = 1e6;
 constexpr double infeasible_cost = std::numeric_limits<double>::infinity();
 
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -36,16 +36,14 @@
     // 50 and 30  ms; fixed time of each prefill, and from a handoff to the first event
     double read_fixed_ms = 50;
     double handover_ms = 30;
-    // 2000  prefill tokens that may be queued at a decode engine while prefill engines
-    // are
-    //       available; pause_watch raises it where the streams tolerate more
+    // 2000  prefill tokens that may be queued at a decode engine while there are prefill
+    //       engines; pause_watch raises it where the streams tolerate more
     std::int64_t beside_streams = 2000;
     bool         observed = false; // read_speed is measured, not the default
     // 0     ms; mean prefill time that an engine was given since its last load digest
     double unheard_ms = 0;
-    // 0     engines per role that are sampled for each call, on average, besides those
-    // that
-    //       have its prompt cached; 0: all engines are considered
+    // 0     engines per role that a call samples, on average, besides those that cache
+    //       its prompt; 0: it considers all
     std::int64_t choices = 0;
 
     bool operator==(engine_costs const&) const = default;
@@ -56,16 +54,13 @@
     // 2     weight of the time to compute a shared part again, since it delays every call
     //       that waits for the engine
     double recompute_weight = 2;
-    // 0.5   of the prefill time of the shared parts; if no engine has them cached, the
-    // call
-    //       goes to their rendezvous engine unless another one is faster by more than
-    //       this
+    // 0.5   of the prefill time of the shared parts; if no engine caches them, the call
+    //       goes to their rendezvous engine unless another is faster by more than this
     double home = 0.5;
     // 300   tokens; a prompt with fewer unshared tokens is prefilled where it is decoded
     std::int64_t handover_least = 300;
-    // 15    ms; cost of a handoff besides its time: the bytes moved and the batch slot at
-    // a
-    //       second engine
+    // 15    ms; cost of a handoff besides its time: the bytes moved and the batch slot
+    //       at the second engine
     double handoff_cost_ms = 15;
     // 1     ms; delay of an engine's prefill by each running stream
     double stream_slowdown_ms = 1;
@@ -76,9 +71,8 @@
     // 10 and 500  ms to set up a transfer between engines, and its speed in tokens per ms
     double fetch_setup_ms = 10;
     double fetch_speed = 500;
-    // 2     times unheard_ms; range of the random part of an engine's cost. Without it
-    // all
-    //       VMs choose the engine that was idle in the last digests
+    // 2     times unheard_ms; range of the random part of an engine's cost. Without it,
+    //       all VMs choose the engine that was idle in the last digests
     double spread = 2;
     bool   fetch = true;    // allow fetching cached parts from other engines
     bool   handover = true; // allow handoffs while a decode engine could prefill
@@ -92,9 +86,8 @@
     backend_server const* server = nullptr;
     server_load           load;
     bool                  suspect = false; // avoided after failures; last choice
-    std::int64_t          kept =
-        0; // tokens of the call's shared parts that it caches or is computing
-    std::int64_t ready = 0; // of these, already computed
+    std::int64_t          kept = 0;  // tokens of shared parts cached or being computed
+    std::int64_t          ready = 0; // of these, already computed
 };
 
 /// The first server of a model call and the predicted times there.
--- a/src/policy/poison_list.hpp
+++ b/src/policy/poison_list.hpp
@@ -36,7 +36,7 @@
 /// The crashes during which one content was in flight.
 struct poison_entry
 {
-    std::set<std::string>  crashes; // ids, so that peers' updates merge
+    std::set<std::string>  crashes; // their ids, so that peers' updates merge
     boot_clock::time_point last{};
     bool                   excused = false; // its server was lost together with others
 
--- a/src/policy/progress_tracker.cpp
+++ b/src/policy/progress_tracker.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t averaged_observations = 8; // the weight of a new one is 1/8
 constexpr std::int64_t max_ratio = 64 * engine_view::nominal_speed;
 constexpr std::int64_t percent = 100;
-constexpr millis       halving_interval{5'000}; // ms without an observation
+constexpr millis       halving_interval{5'000}; // 5000 ms without an observation
 constexpr std::size_t  min_engines = 3;         // with fewer, the median means nothing
 } // namespace
 
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 constexpr std::int64_t percent = 100;
-constexpr std::int64_t free_retries =
-    20; // so that an entry VM with few requests can retry
+// 20  retries besides the share, so that an entry VM with few requests can retry
+constexpr std::int64_t free_retries = 20;
 
 retry_decision refuse(refusal_cause cause, retry_input const& input)
 {
--- a/src/policy/retry_gate.hpp
+++ b/src/policy/retry_gate.hpp
@@ -19,8 +19,7 @@
 struct retry_gate_options
 {
     millis initial_pause{500}; // 500   ms; pause after the first failure
-    millis max_pause{
-        2000}; // 2000  ms; a VM calls again at most this long after the outage
+    millis max_pause{2000};    // 2000  ms; a VM calls again within this after an outage
 
     bool operator==(retry_gate_options const&) const = default;
 };
--- a/src/policy/send_account.hpp
+++ b/src/policy/send_account.hpp
@@ -111,12 +111,10 @@
 
 private:
     // 1  refusal after which the call is sent again; a second one shows that the service
-    // is
-    //    full, and the caller is asked to retry later
+    //    is full, and the caller is asked to retry later
     static constexpr std::int64_t max_refusals = 1;
     // 4  failed connections, after which the service counts as unreachable and the caller
-    // is
-    //    told so while it still has time to retry
+    //    is told so while it still has time to retry
     static constexpr std::int64_t max_failed_connects = 4;
 
     std::int64_t runs_ = 0;
--- a/src/policy/server_health.hpp
+++ b/src/policy/server_health.hpp
@@ -122,10 +122,9 @@
 
     struct server_state
     {
-        int                    count = 0; // consecutive failures
-        boot_clock::time_point until{};   // end of the pause
-        std::map<news_source, boot_clock::time_point>
-            published; // end of the pauses to publish, by source
+        int                                           count = 0; // consecutive failures
+        boot_clock::time_point                        until{};   // end of the pause
+        std::map<news_source, boot_clock::time_point> published; // pause ends
     };
 
     void pause(std::string const& server, boot_clock::time_point until)
--- a/src/policy/target_judgement.hpp
+++ b/src/policy/target_judgement.hpp
@@ -23,7 +23,7 @@
     std::int64_t at_ms = 0; // when it ended, unix milliseconds
     std::string  request_id;
     std::string  workspace;
-    std::string  outcome;               // "whole" or the refusal's cause
+    std::string  outcome;               // "whole" if complete, or the refusal's cause
     std::int64_t first_token_ms = -1;   // -1: none came
     std::int64_t between_tokens_ms = 0; // 95th percentile of the gaps
 
--- a/src/policy/wait_judgement.hpp
+++ b/src/policy/wait_judgement.hpp
@@ -21,9 +21,8 @@
 
 struct wait_options
 {
-    // 2.5   times the objective; longest predicted time to the first token. Later
-    // responses
-    //       are still worth something, but delay the calls behind them by more than that
+    // 2.5   times the objective; longest predicted time to the first token. Responses
+    //       after it are still worth something, but cost the calls behind them more
     double longest_wait = 2.5;
     // 250 and 2000  ms; limits of the retry delay that the caller is given
     millis min_retry_after{250};
