--- a/src/policy/pause_watch.hpp
+++ b/src/policy/pause_watch.hpp
@@ -80,7 +80,7 @@
     }
 
     /// The tracked quantile of the longest pauses, as a ratio to the promised pause.
-    double share() const noexcept
+    double pause_ratio() const noexcept
     {
         return pause_ratio_;
     }
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -46,11 +46,12 @@
     return best;
 }
 
-/// A value from 0 to 1 that depends only on the call's ticket and the engine's id.
-double hash_fraction(std::uint64_t ticket, std::string const& id)
+/// A value from 0 to 1 that depends only on the call's tie_break and the engine's id.
+double hash_fraction(std::uint64_t tie_break, std::string const& id)
 {
     constexpr double most = 18446744073709551615.0; // 2^64 - 1
-    return static_cast<double>(XXH3_64bits_withSeed(id.data(), id.size(), ticket)) / most;
+    return static_cast<double>(XXH3_64bits_withSeed(id.data(), id.size(), tie_break)) /
+           most;
 }
 
 struct choice
@@ -59,16 +60,16 @@
     double           cost = std::numeric_limits<double>::infinity();
 };
 
-/// The candidate with the least cost. The search starts at the index that `ticket`
+/// The candidate with the least cost. The search starts at the index that `tie_break`
 /// selects, so that calls spread over candidates of equal cost.
 template <class Cost>
-choice cheapest(std::vector<candidate> const& candidates, std::uint64_t ticket,
+choice cheapest(std::vector<candidate> const& candidates, std::uint64_t tie_break,
                 Cost&& cost)
 {
     choice best;
     for (std::size_t step = 0; step < candidates.size(); ++step)
     {
-        auto const& each = candidates[(ticket + step) % candidates.size()];
+        auto const& each = candidates[(tie_break + step) % candidates.size()];
         auto const  value = cost(each);
         if (value < best.cost)
         {
@@ -83,11 +84,11 @@
 // 2. Plain
 
 backend_server const* place_plain(std::vector<candidate> const& candidates,
-                                  std::string const& data_centre, std::uint64_t ticket)
+                                  std::string const& data_centre, std::uint64_t tie_break)
 {
     // 1.5  running calls; cost of a hop to another data centre
     constexpr double remote_penalty = 1.5;
-    auto const       best = cheapest(candidates, ticket,
+    auto const       best = cheapest(candidates, tie_break,
                                      [&](candidate const& each)
                                      {
                                    bool const near =
@@ -120,9 +121,9 @@
 public:
     prefill_costs(std::vector<candidate> const& candidates, caller_call const& call,
                   engine_costs const& engines, std::string const& data_centre,
-                  std::uint64_t ticket, placement_options const& options)
-        : costs_(engines), data_centre_(data_centre), ticket_(ticket), options_(options),
-          own_tokens_(call.own_tokens()),
+                  std::uint64_t tie_break, placement_options const& options)
+        : costs_(engines), data_centre_(data_centre), tie_break_(tie_break),
+          options_(options), own_tokens_(call.own_tokens()),
           shared_tokens_(call.prompt_tokens() - call.own_tokens())
     {
         for (auto const& each : candidates)
@@ -212,14 +213,14 @@
         bool const home =
             each.server == prefill_rendezvous_ || each.server == decode_rendezvous_;
         return few || home || each.kept > 0 ||
-               hash_fraction(~ticket_, each.server->id) * static_cast<double>(role) <
+               hash_fraction(~tie_break_, each.server->id) * static_cast<double>(role) <
                    static_cast<double>(costs_.choices);
     }
 
     double spread(candidate const& each) const
     {
         auto const most = options_.spread * costs_.unheard_ms;
-        return most <= 0 ? 0.0 : most * hash_fraction(ticket_, each.server->id);
+        return most <= 0 ? 0.0 : most * hash_fraction(tie_break_, each.server->id);
     }
 
 private:
@@ -256,7 +257,7 @@
 
     engine_costs const&      costs_;
     std::string const&       data_centre_;
-    std::uint64_t            ticket_;
+    std::uint64_t            tie_break_;
     placement_options const& options_;
     std::int64_t             own_tokens_;
     std::int64_t             shared_tokens_;
@@ -273,10 +274,12 @@
 
 std::optional<placement> place_model(std::vector<candidate> const& candidates,
                                      caller_call const& call, engine_costs const& costs,
-                                     std::string const& data_centre, std::uint64_t ticket,
+                                     std::string const&       data_centre,
+                                     std::uint64_t            tie_break,
                                      placement_options const& options)
 {
-    prefill_costs const estimates{candidates, call, costs, data_centre, ticket, options};
+    prefill_costs const    estimates{candidates,  call,      costs,
+                                  data_centre, tie_break, options};
     std::vector<placement> placed(candidates.size());
     std::transform(candidates.begin(), candidates.end(), placed.begin(),
                    [&](candidate const& each) { return estimates.plan_at(each); });
@@ -285,7 +288,7 @@
         return placed[static_cast<std::size_t>(&each - candidates.data())];
     };
     auto const colocated =
-        cheapest(candidates, ticket,
+        cheapest(candidates, tie_break,
                  [&](candidate const& each)
                  {
                      return estimates.may_prefill(each, plan_of(each))
@@ -293,7 +296,7 @@
                                 : infeasible_cost;
                  });
     auto const handed_off =
-        cheapest(candidates, ticket,
+        cheapest(candidates, tie_break,
                  [&](candidate const& each)
                  {
                      return is_prefill_engine(each)
@@ -313,12 +316,13 @@
 
 backend_server const* place_decode(std::vector<candidate> const& candidates,
                                    engine_costs const&           costs,
-                                   std::string const& data_centre, std::uint64_t ticket,
-                                   placement_options const& options)
+                                   std::string const&            data_centre,
+                                   std::uint64_t                 tie_break,
+                                   placement_options const&      options)
 {
     prefill_costs const estimates{candidates,  caller_call{}, costs,
-                                  data_centre, ticket,        options};
-    auto const          best = cheapest(candidates, ticket,
+                                  data_centre, tie_break,     options};
+    auto const          best = cheapest(candidates, tie_break,
                                         [&](candidate const& each)
                                         {
                                    return is_prefill_engine(each)
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -103,15 +103,17 @@
 };
 
 /// The server with the fewest running calls for a call without a prompt. A server in
-/// another data centre is chosen only if it has at least two fewer. `ticket` breaks ties,
-/// so that VMs don't all choose the same server. Null without candidates.
+/// another data centre is chosen only if it has at least two fewer. `tie_break` breaks
+/// ties, so that VMs don't all choose the same server. Null without candidates.
 backend_server const* place_plain(std::vector<candidate> const& candidates,
-                                  std::string const& data_centre, std::uint64_t ticket);
+                                  std::string const&            data_centre,
+                                  std::uint64_t                 tie_break);
 
 /// The first engine for a model call; nothing if no engine can take it.
 std::optional<placement> place_model(std::vector<candidate> const& candidates,
                                      caller_call const& call, engine_costs const& costs,
-                                     std::string const& data_centre, std::uint64_t ticket,
+                                     std::string const&       data_centre,
+                                     std::uint64_t            tie_break,
                                      placement_options const& options);
 
 /// The decode engine for a call after another engine's prefill. It is chosen only then:
@@ -119,8 +121,9 @@
 /// there is none.
 backend_server const* place_decode(std::vector<candidate> const& candidates,
                                    engine_costs const&           costs,
-                                   std::string const& data_centre, std::uint64_t ticket,
-                                   placement_options const& options);
+                                   std::string const&            data_centre,
+                                   std::uint64_t                 tie_break,
+                                   placement_options const&      options);
 
 } // namespace marigoldcrank
 
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -33,7 +33,7 @@
     {
         return refuse(refusal_cause::backend_server_failed, input);
     }
-    return {input.content_crashes > 0 ? retry_verdict::again_alone : retry_verdict::again,
+    return {input.content_crashes > 0 ? retry_verdict::again_alone : retry_verdict::retry,
             {},
             input};
 }
--- a/src/policy/retry.hpp
+++ b/src/policy/retry.hpp
@@ -27,7 +27,7 @@
 
 enum class retry_verdict
 {
-    again,
+    retry,
     again_alone, // on an engine without other work, as its content is a suspect
     refuse
 };
