--- a/src/policy/pause_watch.hpp
+++ b/src/policy/pause_watch.hpp
@@ -1,12 +1,12 @@
-// How long the pauses of streams are against what callers are promised, and how many
-// prompt tokens engines that decode may read beside their streams.
+// Limits the prefill queued at decode engines by the pauses that their streams show.
 //
 // Index: 1 pause_watch_options, 2 pause_watch
 //
-// Load answered: engines read a piece of a prompt between two tokens of their streams.
-// Where an event holds many tokens, or the promise is short, a decoding engine that reads
-// all the time makes every stream on it late; elsewhere it can read at no harm, and a
-// fleet that leaves its decoding engines unused for that queues at the others.
+// Engines compute a chunk of a prompt between two tokens of their streams. Where an event
+// holds many tokens, or the promised pause is short, a decode engine with constant
+// prefill makes every stream on it late. Elsewhere prefill there does no harm, and a
+// fleet that does not use its decode engines for it builds up queues at the prefill
+// engines.
 #ifndef MARIGOLDCRANK_POLICY_PAUSE_WATCH_HPP
 #define MARIGOLDCRANK_POLICY_PAUSE_WATCH_HPP
 
@@ -20,75 +20,76 @@
 
 struct pause_watch_options
 {
-    // 0.9   quantile of the streams' longest pauses that is followed
+    // 0.9   quantile of the streams' longest pauses that is tracked
     double quantile = 0.9;
-    // 0.03  of the promised pause; by so much one stream moves the quantile
+    // 0.03  of the promised pause; step by which one stream moves the estimate
     double step = 0.03;
-    // 0.7 and 0.85  of the promised pause; below the first, streams bear any reading,
-    //               above the second only the least
-    double bears_all = 0.7;
-    double bears_least = 0.85;
-    // 1500 and 30000  tokens that may wait at an engine that decodes
+    // 0.7 and 0.85  of the promised pause; below the first the limit is `most`, above the
+    //               second it is `least`, and between them it is interpolated
+    double full_below = 0.7;
+    double min_above = 0.85;
+    // 1500 and 30000  prefill tokens that may be queued at a decode engine
     std::int64_t least = 1500;
     std::int64_t most = 30000;
 
     bool operator==(pause_watch_options const&) const = default;
 };
 
-/// Pure.
+/// Estimates a quantile by small fixed steps. Does no I/O.
 class pause_watch
 {
 public:
     explicit pause_watch(pause_watch_options options = {})
-        : options_(options), share_((options.bears_all + options.bears_least) / 2)
+        : options_(options), pause_ratio_((options.full_below + options.min_above) / 2)
     {
     }
 
-    /// A stream of so many events has ended whole.
+    /// Records the complete end of a stream with `events` events.
     void ended(std::int64_t events, boot_clock::duration longest_pause, millis promised)
     {
-        if (events < least_events || promised.count() <= 0)
+        if (events < min_events || promised.count() <= 0)
         {
             return;
         }
-        constexpr double most_share = 2; // a lost engine says nothing about reading
+        // 2  times the promise; longer pauses come from lost engines, not from prefill
+        constexpr double max_ratio = 2;
         auto const       share = std::min(std::chrono::duration<double>(longest_pause) /
                                               std::chrono::duration<double>(promised),
-                                          most_share);
-        share_ +=
-            options_.step * (share > share_ ? options_.quantile : options_.quantile - 1);
-        share_ = std::clamp(share_, 0.0, most_share);
+                                          max_ratio);
+        pause_ratio_ += options_.step * (share > pause_ratio_ ? options_.quantile
+                                                              : options_.quantile - 1);
+        pause_ratio_ = std::clamp(pause_ratio_, 0.0, max_ratio);
     }
 
-    /// Tokens that may wait to be read at an engine that decodes. `adapts` off: the
-    /// least.
+    /// Prefill tokens that may be queued at a decode engine; `least` if `adapts` is
+    /// false.
     std::int64_t beside_streams(bool adapts) const
     {
-        auto const room =
-            (options_.bears_least - share_) / (options_.bears_least - options_.bears_all);
-        auto const share = adapts ? std::clamp(room, 0.0, 1.0) : 0.0;
+        auto const headroom = (options_.min_above - pause_ratio_) /
+                              (options_.min_above - options_.full_below);
+        auto const share = adapts ? std::clamp(headroom, 0.0, 1.0) : 0.0;
         return options_.least +
                static_cast<std::int64_t>(
                    share * static_cast<double>(options_.most - options_.least));
     }
 
-    /// Whether engines that decode can take over reading from the others.
+    /// Whether decode engines can take over prefill from the prefill engines.
     bool bears_reading(bool adapts) const
     {
         return beside_streams(adapts) > (options_.least + options_.most) / 2;
     }
 
-    /// Longest pause of most streams, as a share of the promised one.
-    double share() const noexcept
+    /// The tracked quantile of the longest pauses, as a ratio to the promised pause.
+    double pause_ratio() const noexcept
     {
-        return share_;
+        return pause_ratio_;
     }
 
 private:
-    static constexpr std::int64_t least_events = 3; // fewer show no pause
+    static constexpr std::int64_t min_events = 3; // with fewer there is no pause
 
     pause_watch_options options_;
-    double              share_;
+    double              pause_ratio_;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -1,4 +1,4 @@
-// Retries within a budget.
+// Retry decision.
 #include "policy/retry.hpp"
 
 namespace marigoldcrank
@@ -7,7 +7,8 @@
 namespace
 {
 constexpr std::int64_t percent = 100;
-constexpr std::int64_t free_retries = 20; // a quiet entry VM may retry at all
+// 20  retries besides the share, so that an entry VM with few requests can retry
+constexpr std::int64_t free_retries = 20;
 
 retry_decision refuse(refusal_cause cause, retry_input const& input)
 {
@@ -32,7 +33,7 @@
     {
         return refuse(refusal_cause::backend_server_failed, input);
     }
-    return {input.content_crashes > 0 ? retry_verdict::again_alone : retry_verdict::again,
+    return {input.content_crashes > 0 ? retry_verdict::again_alone : retry_verdict::retry,
             {},
             input};
 }
