--- a/src/policy/fleet_plan.cpp
+++ b/src/policy/fleet_plan.cpp
@@ -11,12 +11,12 @@
 {
 
 // 8000  ms; longer than the time between two bursts of a swing, and than a server's start
-constexpr millis memory{8000};
+constexpr millis demand_window{8000};
 
 // 1.5   times the need: it is a mean over seconds, and bursts go above it
-constexpr double reserve = 1.5;
+constexpr double burst_factor = 1.5;
 
-std::int64_t divide_up(std::int64_t value, std::int64_t parts)
+std::int64_t ceil_divide(std::int64_t value, std::int64_t parts)
 {
     return (value + parts - 1) / parts;
 }
@@ -28,7 +28,8 @@
     fleet_targets(fleet_bounds const& bounds, fleet_state const& state,
                   boot_clock::time_point now, fleet_options const& options)
         : bounds_(bounds), state_(state), now_(now), options_(options),
-          floor_(std::max({bounds.least, divide_up(bounds.most, options.full_floor),
+          floor_(std::max({bounds.least,
+                           ceil_divide(bounds.most, options.full_price_divisor),
                            std::int64_t{1}}))
     {
         for (auto const& [name, centre] : state.centres)
@@ -54,10 +55,10 @@
     }
 
 private:
-    bool cheap_available(centre_state const& centre) const
+    bool cheap_available(data_centre_state const& centre) const
     {
         return centre.refused == boot_clock::time_point{} ||
-               now_ - centre.refused >= options_.refused_pause;
+               now_ - centre.refused >= options_.cheap_backoff;
     }
 
     std::int64_t room(std::string const& data_centre) const
@@ -69,15 +70,15 @@
     std::int64_t floor_without_cheap() const
     {
         auto const centres = static_cast<std::int64_t>(state_.centres.size());
-        auto const most = bounds_.most / options_.dry_floor;
+        auto const most = bounds_.most / options_.full_price_divisor_without_cheap;
         return state_.wanted == 0 ? most
-                                  : std::min(most, divide_up(state_.wanted, centres));
+                                  : std::min(most, ceil_divide(state_.wanted, centres));
     }
 
     /// Servers that will be left, without more of full price, once the cheap ones of
     /// another data centre are taken back: that comes with less notice than a start
     /// takes.
-    std::int64_t left_after_next() const
+    std::int64_t left_after_reclaim() const
     {
         std::int64_t sum = 0;
         std::int64_t most_cheap = 0;
@@ -94,16 +95,17 @@
     /// Shares what is missing among the data centres that sell no cheap servers.
     void buy_full()
     {
-        auto missing = state_.wanted - left_after_next();
+        auto missing = state_.wanted - left_after_reclaim();
         bool found = true;
         while (missing > 0 && found)
         {
             found = false;
             for (auto const& [name, centre] : state_.centres)
             {
-                auto const kept = std::max(centre.present.cheap, options_.cheap_places);
+                auto const reserved =
+                    std::max(centre.present.cheap, options_.reserved_cheap_places);
                 if (missing > 0 && !cheap_available(centre) &&
-                    full_[name] < bounds_.most - kept)
+                    full_[name] < bounds_.most - reserved)
                 {
                     ++full_[name];
                     --missing;
@@ -120,9 +122,9 @@
         for (auto const& [name, centre] : state_.centres)
         {
             auto&      target = full_[name];
-            auto const over = std::max<std::int64_t>(centre.present.full - target, 0);
-            auto const released = std::clamp<std::int64_t>(spare, 0, over);
-            target += over - released;
+            auto const excess = std::max<std::int64_t>(centre.present.full - target, 0);
+            auto const released = std::clamp<std::int64_t>(spare, 0, excess);
+            target += excess - released;
             spare -= released;
         }
     }
@@ -136,17 +138,17 @@
         {
             return;
         }
-        auto         rest = options_.cheap_reserve * state_.wanted;
-        std::int64_t sellers = 0;
+        auto         remaining = options_.cheap_factor * state_.wanted;
+        std::int64_t cheap_centres = 0;
         for (auto const& [name, centre] : state_.centres)
         {
-            sellers += cheap_available(centre) ? 1 : 0;
-            rest -= full_.at(name);
+            cheap_centres += cheap_available(centre) ? 1 : 0;
+            remaining -= full_.at(name);
         }
-        auto const parts = std::max<std::int64_t>(sellers - 1, 1);
-        auto const step = divide_up(bounds_.most, options_.steps);
-        auto const share = divide_up(std::max<std::int64_t>(rest, 1), parts);
-        cheap_ = divide_up(share, step) * step;
+        auto const parts = std::max<std::int64_t>(cheap_centres - 1, 1);
+        auto const step = ceil_divide(bounds_.most, options_.steps);
+        auto const share = ceil_divide(std::max<std::int64_t>(remaining, 1), parts);
+        cheap_ = ceil_divide(share, step) * step;
     }
 
     fleet_bounds const&                 bounds_;
@@ -195,21 +197,22 @@
     {
         known_since = now;
     }
-    if (servers >= wanted || now - wanted_at >= memory)
+    if (servers >= wanted || now - wanted_updated_at >= demand_window)
     {
         wanted = servers;
-        wanted_at = now;
+        wanted_updated_at = now;
     }
 }
 
 bool fleet_state::settled(boot_clock::time_point now) const
 {
-    return known_since != boot_clock::time_point{} && now - known_since >= memory;
+    return known_since != boot_clock::time_point{} && now - known_since >= demand_window;
 }
 
 std::int64_t servers_for(role_need const& need)
 {
-    return static_cast<std::int64_t>(std::ceil(reserve * (need.prefill + need.decode)));
+    return static_cast<std::int64_t>(
+        std::ceil(burst_factor * (need.prefill + need.decode)));
 }
 
 std::vector<server_order> plan_fleet(service const& value, fleet_state const& state,
@@ -222,7 +225,7 @@
         return orders;
     }
     fleet_targets const targets(*value.fleet, state, now, options);
-    auto const          step = divide_up(value.fleet->most, options.steps);
+    auto const          step = ceil_divide(value.fleet->most, options.steps);
     for (auto const& [name, centre] : state.centres)
     {
         auto const full = targets.full(name);
@@ -231,9 +234,9 @@
         {
             orders.push_back({value.name, name, full, false});
         }
-        bool const short_of = centre.present.cheap < cheap;
+        bool const too_few = centre.present.cheap < cheap;
         bool const spare = centre.present.cheap > cheap + step;
-        if (short_of || spare)
+        if (too_few || spare)
         {
             orders.push_back({value.name, name, cheap, true});
         }
--- a/src/policy/fleet_plan.hpp
+++ b/src/policy/fleet_plan.hpp
@@ -1,7 +1,7 @@
 // How many servers of each kind are wanted in each data centre.
 //
-// Index: 1 fleet_count, 2 count_fleet, 3 fleet_options, 4 centre_state, 5 fleet_state,
-// 6 servers_for, 7 plan_fleet
+// Index: 1 fleet_count, 2 count_fleet, 3 fleet_options, 4 data_centre_state, 5
+// fleet_state, 6 servers_for, 7 plan_fleet
 //
 // Load answered: swings above what the bought servers carry. Cheap servers cost about a
 // fifth and can be taken back, a data centre at a time. So all that may be had are held,
@@ -41,19 +41,19 @@
 {
     // 16    of the most servers that a data centre may have, one in so many is kept at
     //       full price: these are what is left when the cheap ones are taken back
-    std::int64_t full_floor = 16;
+    std::int64_t full_price_divisor = 16;
     // 2     of the most servers that a data centre may have, at most one in so many is
     // held
     //       at full price while cheap ones are not available there
-    std::int64_t dry_floor = 2;
+    std::int64_t full_price_divisor_without_cheap = 2;
     // 10000 ms; cheap servers count as not to be had so long after a refusal
-    millis refused_pause{10000};
+    millis cheap_backoff{10000};
     // 2     places of a data centre that stay free for cheap servers, so that they are
     //       asked for again and found available
-    std::int64_t cheap_places = 2;
+    std::int64_t reserved_cheap_places = 2;
     // 2     times what is wanted, held in cheap servers: they cost a sixth, and with many
     //       of them queues are short
-    std::int64_t cheap_reserve = 2;
+    std::int64_t cheap_factor = 2;
     // 8     steps in which the number of cheap servers changes, of the most that a data
     //       centre may have: less would order and dismiss servers with every burst
     std::int64_t steps = 8;
@@ -62,20 +62,20 @@
 };
 
 /// What is known of a service in one data centre.
-struct centre_state
+struct data_centre_state
 {
     fleet_count            present;
     boot_clock::time_point refused{}; // last refusal of cheap ones; epoch: never
 
-    bool operator==(centre_state const&) const = default;
+    bool operator==(data_centre_state const&) const = default;
 };
 
 /// What is known of a service in all data centres.
 struct fleet_state
 {
-    std::map<std::string, centre_state> centres;
-    std::int64_t                        wanted = 0; // servers for what callers ask
-    boot_clock::time_point              wanted_at{};
+    std::map<std::string, data_centre_state> centres;
+    std::int64_t                             wanted = 0; // servers for what callers ask
+    boot_clock::time_point                   wanted_updated_at{};
     boot_clock::time_point known_since{}; // epoch: callers have asked nothing
 
     bool operator==(fleet_state const&) const = default;
--- a/src/policy/fleet_share.hpp
+++ b/src/policy/fleet_share.hpp
@@ -25,15 +25,15 @@
     {
         heard_ = std::max<std::int64_t>(heard, 1);
         listed_ = listed;
-        begun_ = begun_.value_or(now);
-        while (!most_.empty() && most_.back().vms <= heard_)
+        started_at_ = started_at_.value_or(now);
+        while (!window_maxima_.empty() && window_maxima_.back().vms <= heard_)
         {
-            most_.pop_back();
+            window_maxima_.pop_back();
         }
-        most_.push_back({now, heard_});
-        while (now - most_.front().at > memory)
+        window_maxima_.push_back({now, heard_});
+        while (now - window_maxima_.front().at > window)
         {
-            most_.pop_front();
+            window_maxima_.pop_front();
         }
     }
 
@@ -42,15 +42,15 @@
     {
         constexpr std::int64_t quarters = 4;
         constexpr std::int64_t enough = 3;
-        bool const             met = listed_ > 0 && heard_ * quarters >= listed_ * enough;
-        return met || (begun_ && now - *begun_ >= longest_meeting);
+        bool const peers_known = listed_ > 0 && heard_ * quarters >= listed_ * enough;
+        return peers_known || (started_at_ && now - *started_at_ >= discovery_timeout);
     }
 
     /// All VMs, as far as known.
     std::int64_t vms() const
     {
-        auto const heard = most_.empty() ? heard_ : most_.front().vms;
-        return listed_ == 0 ? std::max(heard, unknown_vms) : std::max(heard, listed_);
+        auto const heard = window_maxima_.empty() ? heard_ : window_maxima_.front().vms;
+        return listed_ == 0 ? std::max(heard, assumed_vms) : std::max(heard, listed_);
     }
 
     double value() const
@@ -67,13 +67,13 @@
 private:
     // 10000 ms; longer than a window in which limits are judged, and than the time after
     //       which a VM that is cut off from the store refuses its callers
-    static constexpr millis memory{10'000};
+    static constexpr millis window{10'000};
     // 1500  ms; after a start the others are known by then, or can't be heard
-    static constexpr millis longest_meeting{1500};
+    static constexpr millis discovery_timeout{1500};
     // 100   VMs while the store has told of none
-    static constexpr std::int64_t unknown_vms = 100;
+    static constexpr std::int64_t assumed_vms = 100;
 
-    struct count
+    struct sample
     {
         boot_clock::time_point at;
         std::int64_t           vms;
@@ -81,8 +81,9 @@
 
     std::int64_t                          heard_ = 1;
     std::int64_t                          listed_ = 0;
-    std::optional<boot_clock::time_point> begun_; // of the first count
-    std::deque<count> most_; // falling counts, each the most since the one before
+    std::optional<boot_clock::time_point> started_at_; // of the first count
+    std::deque<sample>
+        window_maxima_; // falling counts, each the most since the one before
 };
 
 } // namespace marigoldcrank
--- a/src/policy/limit_book.cpp
+++ b/src/policy/limit_book.cpp
@@ -47,9 +47,10 @@
 {
     auto&      book = books_[workspace];
     auto const own = own_share(book);
-    bool const forgetful = now < started_ + terms_.loan + terms_.drift;
-    auto const kept = forgetful ? own * terms_.keep_percent / percent : own;
-    return std::max<std::int64_t>(0, kept - sum(book.lent, now)) +
+    bool const recently_started = now < started_ + terms_.loan + terms_.drift;
+    auto const available =
+        recently_started ? own * terms_.reserved_percent / percent : own;
+    return std::max<std::int64_t>(0, available - sum(book.lent, now)) +
            sum(book.borrowed, now);
 }
 
@@ -57,16 +58,16 @@
                                          boot_clock::time_point now)
 {
     auto&      book = books_[workspace];
-    auto const missing = book.demand - usable(workspace, now);
+    auto const shortfall = book.demand - usable(workspace, now);
     std::erase_if(book.asked,
                   [&](auto const& each) { return now >= each.second + terms_.loan; });
-    if (book.limit == 0 || missing <= 0)
+    if (book.limit == 0 || shortfall <= 0)
     {
         return std::nullopt;
     }
     auto const number = next_ask_++;
     book.asked[number] = now;
-    return limit_ask{workspace, number, missing};
+    return limit_ask{workspace, number, shortfall};
 }
 
 std::optional<limit_grant> limit_book::lend(limit_ask const&       ask,
@@ -74,12 +75,12 @@
 {
     auto&      book = books_[ask.workspace];
     auto const own = own_share(book);
-    bool const forgetful = now < started_ + terms_.loan + terms_.drift;
+    bool const recently_started = now < started_ + terms_.loan + terms_.drift;
     auto const lent = sum(book.lent, now);
-    auto const lendable = own - own * terms_.keep_percent / percent - lent;
+    auto const lendable = own - own * terms_.reserved_percent / percent - lent;
     auto const spare = own - lent - book.demand;
     auto const amount = std::min({ask.wanted, lendable, spare});
-    if (forgetful || amount <= 0)
+    if (recently_started || amount <= 0)
     {
         return std::nullopt;
     }
--- a/src/policy/limit_book.hpp
+++ b/src/policy/limit_book.hpp
@@ -27,10 +27,10 @@
 /// The same on all entry VMs.
 struct limit_terms
 {
-    std::int64_t entries = 1;       // 1     entry VMs that share every limit
-    std::int64_t keep_percent = 25; // 25    of the own share that is never lent
-    millis       loan{4'000};       // 4000  length of a loan, ms
-    millis       drift{200};        // 200   bound on clock drift over a loan, ms
+    std::int64_t entries = 1;           // 1     entry VMs that share every limit
+    std::int64_t reserved_percent = 25; // 25    of the own share that is never lent
+    millis       loan{4'000};           // 4000  length of a loan, ms
+    millis       drift{200};            // 200   bound on clock drift over a loan, ms
 
     bool operator==(limit_terms const&) const = default;
 };
--- a/src/policy/load_relay.hpp
+++ b/src/policy/load_relay.hpp
@@ -63,7 +63,7 @@
         {
             // A sum over all VMs holds this VM's work as it was told about two digests
             // ago.
-            digest.work.subtract(told_before_);
+            digest.work.subtract(previous_published_);
         }
         peers_.absorb(key, std::move(digest.work), now);
         return true;
@@ -73,7 +73,7 @@
     std::vector<load_digest> digests(vm_work const& own, boot_clock::time_point now)
     {
         peers_.expire(now);
-        told_before_ = std::exchange(told_, own);
+        previous_published_ = std::exchange(last_published_, own);
         std::vector<load_digest> result{{digest_scope::vm, vm_, centre_, own}};
         if (plan_.relay)
         {
@@ -115,21 +115,22 @@
     /// Two relays of a data centre tell of the same work, so they share a name.
     std::string key_of(load_digest const& digest) const
     {
-        bool const home = digest.data_centre == centre_;
+        bool const same_centre = digest.data_centre == centre_;
         if (digest.vm == vm_)
         {
             return "";
         }
-        if (digest.scope == digest_scope::vm && (plan_.mesh || (plan_.relay && home)))
+        if (digest.scope == digest_scope::vm &&
+            (plan_.mesh || (plan_.relay && same_centre)))
         {
             return vm_key + digest.vm;
         }
-        if (digest.scope == digest_scope::centre && plan_.relay && !home)
+        if (digest.scope == digest_scope::centre && plan_.relay && !same_centre)
         {
             return centre_key + digest.data_centre;
         }
         bool const member = !plan_.mesh && !plan_.relay;
-        return digest.scope == digest_scope::fleet && member && home
+        return digest.scope == digest_scope::fleet && member && same_centre
                    ? std::string{fleet_key}
                    : "";
     }
@@ -138,8 +139,8 @@
     std::string vm_;
     std::string centre_;
     peer_loads  peers_;
-    vm_work     told_;
-    vm_work     told_before_;
+    vm_work     last_published_;
+    vm_work     previous_published_;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/mass_loss.hpp
+++ b/src/policy/mass_loss.hpp
@@ -56,15 +56,15 @@
                 ++servers[content];
             }
         }
-        std::vector<std::string> once;
+        std::vector<std::string> on_one_server;
         for (auto const& [content, count] : servers)
         {
             if (count == 1)
             {
-                once.push_back(content);
+                on_one_server.push_back(content);
             }
         }
-        return once;
+        return on_one_server;
     }
 
     millis                             window_;
--- a/src/policy/order_settlement.cpp
+++ b/src/policy/order_settlement.cpp
@@ -42,11 +42,11 @@
 order_step settle_dismissal(order const& wanted, order_progress const& progress,
                             std::vector<backend_server> const& listed, bool idle)
 {
-    bool const still_there =
+    bool const still_listed =
         std::any_of(listed.begin(), listed.end(),
                     [&](backend_server const& server)
                     { return server.id == wanted.server && !server.leaving; });
-    if (!still_there)
+    if (!still_listed)
     {
         return order_step::close_done;
     }
@@ -64,17 +64,17 @@
 } // namespace
 
 order_step settle_role(order const& wanted, order_progress const& progress,
-                       engine_truth const& truth)
+                       engine_truth const& observed)
 {
-    if (!truth.listed)
+    if (!observed.listed)
     {
         return order_step::close_abandoned;
     }
-    if (!truth.state || truth.state->changing)
+    if (!observed.state || observed.state->changing)
     {
         return wait_or_abandon(progress);
     }
-    if (truth.state->role == wanted.role)
+    if (observed.state->role == wanted.role)
     {
         return order_step::close_done;
     }
@@ -87,7 +87,7 @@
     }
     // An engine that crashed in the middle comes back in its old role. The order names a
     // state, so it is sent again under the same id.
-    return truth.idle ? order_step::send : order_step::wait;
+    return observed.idle ? order_step::send : order_step::wait;
 }
 
 order_step settle_vm(order const& wanted, std::string const& order_id,
--- a/src/policy/order_settlement.hpp
+++ b/src/policy/order_settlement.hpp
@@ -51,7 +51,7 @@
 };
 
 order_step settle_role(order const& wanted, order_progress const& progress,
-                       engine_truth const& truth);
+                       engine_truth const& observed);
 
 /// `listed` is the platform's list, which lags, or none if it could not be read. `idle`
 /// is for a dismissal, as above.
--- a/src/policy/peer_loads.hpp
+++ b/src/policy/peer_loads.hpp
@@ -88,7 +88,8 @@
 
 struct peer_loads_options
 {
-    millis life{1000}; // 1000  ms; a peer that has been silent for longer is not counted
+    millis max_age{
+        1000}; // 1000  ms; a peer that has been silent for longer is not counted
 
     bool operator==(peer_loads_options const&) const = default;
 };
@@ -112,7 +113,8 @@
         for (auto const& [vm, digest] : peers_)
         {
             auto const found = digest.work.loads.find(server);
-            if (now - digest.heard <= options_.life && found != digest.work.loads.end())
+            if (now - digest.received_at <= options_.max_age &&
+                found != digest.work.loads.end())
             {
                 sum.add(found->second);
             }
@@ -127,7 +129,8 @@
         for (auto const& [vm, digest] : peers_)
         {
             auto const found = digest.work.demands.find(service);
-            if (now - digest.heard <= options_.life && found != digest.work.demands.end())
+            if (now - digest.received_at <= options_.max_age &&
+                found != digest.work.demands.end())
             {
                 sum.add(found->second);
             }
@@ -141,18 +144,18 @@
         std::int64_t sum = 0;
         for (auto const& [vm, digest] : peers_)
         {
-            sum += now - digest.heard <= options_.life ? digest.work.vms : 0;
+            sum += now - digest.received_at <= options_.max_age ? digest.work.vms : 0;
         }
         return sum;
     }
 
     /// Work of the peers whose names begin with `first`.
-    vm_work sum(char first, boot_clock::time_point now) const
+    vm_work sum(char key_prefix, boot_clock::time_point now) const
     {
         vm_work result;
         for (auto const& [vm, digest] : peers_)
         {
-            if (vm.front() == first && now - digest.heard <= options_.life)
+            if (vm.front() == key_prefix && now - digest.received_at <= options_.max_age)
             {
                 result.add(digest.work);
             }
@@ -164,18 +167,18 @@
     void expire(boot_clock::time_point now)
     {
         std::erase_if(peers_, [&](auto const& entry)
-                      { return now - entry.second.heard > options_.life; });
+                      { return now - entry.second.received_at > options_.max_age; });
     }
 
 private:
-    struct heard_digest
+    struct received_digest
     {
-        boot_clock::time_point heard{};
+        boot_clock::time_point received_at{};
         vm_work                work;
     };
 
-    peer_loads_options                  options_;
-    std::map<std::string, heard_digest> peers_;
+    peer_loads_options                     options_;
+    std::map<std::string, received_digest> peers_;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/policy_options.hpp
+++ b/src/policy/policy_options.hpp
@@ -66,9 +66,9 @@
     std::int64_t fill_percent = 65; // 65     planned use of prefill engines, %
     std::int64_t smooth_ms = 3'000; // 3000   over which demand is averaged, ms
     std::int64_t regret_percent =
-        400;                        // 400    of a change's cost that must be lost first
-    std::int64_t most_changing = 1; // 1      engines of a group changing at once
-    std::int64_t most_orders = 4;   // 4      orders to a group in a window
+        400;                       // 400    of a change's cost that must be lost first
+    std::int64_t max_changing = 1; // 1      engines of a group changing at once
+    std::int64_t max_orders = 4;   // 4      orders to a group in a window
     std::int64_t orders_window_ms = 120'000; // 120000 that window, ms
 
     bool operator==(role_options const&) const = default;
--- a/src/policy/prefix_directory.cpp
+++ b/src/policy/prefix_directory.cpp
@@ -18,52 +18,53 @@
 {
 }
 
-bool prefix_directory::note(std::uint64_t part, std::string const& server, millis reading,
-                            boot_clock::time_point now)
+bool prefix_directory::note_use(std::uint64_t part, std::string const& server,
+                                millis prefill_time, boot_clock::time_point now)
 {
     auto const [held, added] = parts_[part].try_emplace(server);
     auto&      entry = held->second;
     bool const known = !added && alive(entry, now);
     if (added)
     {
-        held_[server].insert(part);
+        parts_by_server_[server].insert(part);
     }
-    bool const tell = !known || now - entry.told >= options_.tell_again;
-    entry.ready = known ? entry.ready : now + reading;
-    entry.told = tell ? now : entry.told;
-    entry.last = now;
-    return tell;
+    bool const publish =
+        !known || now - entry.published_at >= options_.republish_interval;
+    entry.ready = known ? entry.ready : now + prefill_time;
+    entry.published_at = publish ? now : entry.published_at;
+    entry.last_used = now;
+    return publish;
 }
 
 void prefix_directory::sent(std::string const&              server,
-                            std::vector<prompt_part> const& prompt, millis reading,
+                            std::vector<prompt_part> const& prompt, millis prefill_time,
                             boot_clock::time_point now)
 {
     for (std::size_t index = 0; index + 1 < prompt.size(); ++index)
     {
         auto const part = part_hash(prompt[index].id);
-        if (note(part, server, reading, now))
+        if (note_use(part, server, prefill_time, now))
         {
-            untold_[news_source::own][server].push_back(part);
+            unpublished_[news_source::own][server].push_back(part);
         }
     }
 }
 
-void prefix_directory::hear(prefix_news const& news, news_source source,
+void prefix_directory::hear(prefix_news const& update, news_source source,
                             boot_clock::time_point now)
 {
-    for (auto const part : news.parts)
+    for (auto const part : update.parts)
     {
-        if (note(part, news.server, options_.reading, now))
+        if (note_use(part, update.server, options_.prefill_time, now))
         {
-            untold_[source][news.server].push_back(part);
+            unpublished_[source][update.server].push_back(part);
         }
     }
 }
 
 void prefix_directory::forget(std::string const& server)
 {
-    auto const held = held_.extract(server);
+    auto const held = parts_by_server_.extract(server);
     if (held.empty())
     {
         return;
@@ -74,22 +75,22 @@
     }
 }
 
-void prefix_directory::drop_held(std::string const& server, std::uint64_t part)
+void prefix_directory::remove_part(std::string const& server, std::uint64_t part)
 {
-    auto const held = held_.find(server);
+    auto const held = parts_by_server_.find(server);
     held->second.erase(part);
     if (held->second.empty())
     {
-        held_.erase(held);
+        parts_by_server_.erase(held);
     }
 }
 
-std::map<std::string, kept_tokens>
+std::map<std::string, cached_tokens>
 prefix_directory::kept(std::vector<prompt_part> const& prompt,
                        boot_clock::time_point          now) const
 {
-    std::map<std::string, kept_tokens> result;
-    std::int64_t                       before = 0;
+    std::map<std::string, cached_tokens> result;
+    std::int64_t                         before = 0;
     for (std::size_t index = 0; index + 1 < prompt.size(); ++index)
     {
         auto const found = parts_.find(part_hash(prompt[index].id));
@@ -101,9 +102,9 @@
         for (auto const& [server, entry] : found->second)
         {
             auto const chain = result.find(server);
-            bool const whole =
+            bool const complete =
                 index == 0 || (chain != result.end() && chain->second.all == before);
-            if (whole && alive(entry, now))
+            if (complete && alive(entry, now))
             {
                 auto& kept = result[server];
                 kept.all = after;
@@ -119,15 +120,15 @@
 prefix_news_by_source prefix_directory::take_news()
 {
     prefix_news_by_source result;
-    for (auto& [source, engines] : untold_)
+    for (auto& [source, engines] : unpublished_)
     {
         for (auto& [server, parts] : engines)
         {
-            parts.resize(std::min(parts.size(), options_.told_at_once));
+            parts.resize(std::min(parts.size(), options_.max_parts_per_digest));
             result[source].push_back({server, std::move(parts)});
         }
     }
-    untold_.clear();
+    unpublished_.clear();
     return result;
 }
 
@@ -141,7 +142,7 @@
                           bool const old = !alive(holder.second, now);
                           if (old)
                           {
-                              drop_held(holder.first, part->first);
+                              remove_part(holder.first, part->first);
                           }
                           return old;
                       });
--- a/src/policy/prefix_directory.hpp
+++ b/src/policy/prefix_directory.hpp
@@ -1,6 +1,6 @@
 // Which engines keep which parts of prompts in their KV cache.
 //
-// Index: 1 prefix_news, 2 prefix_news_by_source, 3 kept_tokens, 4
+// Index: 1 prefix_news, 2 prefix_news_by_source, 3 cached_tokens, 4
 // prefix_directory_options,
 //        5 prefix_directory
 //
@@ -40,24 +40,24 @@
 using prefix_news_by_source = std::map<news_source, std::vector<prefix_news>>;
 
 /// Tokens of one prompt at one engine.
-struct kept_tokens
+struct cached_tokens
 {
     std::int64_t all = 0;   // cached, or being read
     std::int64_t ready = 0; // cached
 
-    bool operator==(kept_tokens const&) const = default;
+    bool operator==(cached_tokens const&) const = default;
 };
 
 struct prefix_directory_options
 {
     // 20000 ms; a part that no VM has heard of for so long counts as evicted
-    millis life{20000};
+    millis max_age{20000};
     // 3000  ms; a use of a part is told to other VMs again after so long
-    millis tell_again{3000};
+    millis republish_interval{3000};
     // 400   ms; a part that another VM tells of first counts as being read for so long
-    millis reading{400};
+    millis prefill_time{400};
     // 64    parts of one engine told in one digest; a VM sends no more in that time
-    std::size_t told_at_once = 64;
+    std::size_t max_parts_per_digest = 64;
 
     bool operator==(prefix_directory_options const&) const = default;
 };
@@ -72,18 +72,18 @@
     /// on and has read them after `reading`. The last part is the caller's own and isn't
     /// kept track of.
     void sent(std::string const& server, std::vector<prompt_part> const& prompt,
-              millis reading, boot_clock::time_point now);
+              millis prefill_time, boot_clock::time_point now);
 
     /// Another VM tells of sends: its own and, if it is a relay, those it heard of.
-    void hear(prefix_news const& news, news_source source, boot_clock::time_point now);
+    void hear(prefix_news const& update, news_source source, boot_clock::time_point now);
 
     /// The engine keeps nothing any more: it has started anew, or changed its role.
     void forget(std::string const& server);
 
     /// Tokens of the prompt's shared parts that each engine keeps. A part counts only if
     /// the engine keeps all parts before it. Engines that keep none are left out.
-    std::map<std::string, kept_tokens> kept(std::vector<prompt_part> const& prompt,
-                                            boot_clock::time_point          now) const;
+    std::map<std::string, cached_tokens> kept(std::vector<prompt_part> const& prompt,
+                                              boot_clock::time_point          now) const;
 
     /// What has become known since the last time. Only a relay passes on what it heard.
     prefix_news_by_source take_news();
@@ -99,35 +99,35 @@
 private:
     struct use
     {
-        boot_clock::time_point last{};
-        boot_clock::time_point told{};
+        boot_clock::time_point last_used{};
+        boot_clock::time_point published_at{};
         boot_clock::time_point ready{}; // has been read by then
     };
 
     using holders = std::map<std::string, use>;
     using part_set = std::unordered_set<std::uint64_t>;
-    using waiting = std::map<std::string, std::vector<std::uint64_t>>;
+    using pending_parts = std::map<std::string, std::vector<std::uint64_t>>;
 
     /// Notes a use; true if others should be told of it.
-    bool note(std::uint64_t part, std::string const& server, millis reading,
-              boot_clock::time_point now);
+    bool note_use(std::uint64_t part, std::string const& server, millis prefill_time,
+                  boot_clock::time_point now);
 
     /// The engine no longer keeps the part.
-    void drop_held(std::string const& server, std::uint64_t part);
+    void remove_part(std::string const& server, std::uint64_t part);
 
     bool alive(use const& value, boot_clock::time_point now) const
     {
-        return now - value.last <= options_.life;
+        return now - value.last_used <= options_.max_age;
     }
 
-    std::vector<prefix_news> take(waiting& from) const;
+    std::vector<prefix_news> take(pending_parts& from) const;
 
     prefix_directory_options                   options_;
     std::unordered_map<std::uint64_t, holders> parts_;
     // The parts of each engine. Without it each engine that leaves costs a look at every
     // part, and a fleet loses a hundred engines at once.
-    std::unordered_map<std::string, part_set> held_;
-    std::map<news_source, waiting>            untold_;
+    std::unordered_map<std::string, part_set> parts_by_server_;
+    std::map<news_source, pending_parts>      unpublished_;
 };
 
 /// The name by which VMs tell of a part.
--- a/src/policy/prefix_index.cpp
+++ b/src/policy/prefix_index.cpp
@@ -8,7 +8,7 @@
 
 namespace
 {
-constexpr std::int64_t doubtful_divisor = 2;
+constexpr std::int64_t unconfirmed_divisor = 2;
 }
 
 prefix_index::prefix_index(millis forget_after) : forget_after_(forget_after) {}
@@ -69,7 +69,7 @@
 {
     auto& state = state_of(engine);
     ++state.epoch;
-    state.alive_since = state.epoch;
+    state.valid_since = state.epoch;
     state.next_sequence = 0;
 }
 
@@ -86,13 +86,13 @@
                   [&](holder const& value)
                   {
                       return now - value.confirmed > forget_after_ ||
-                             value.epoch < state_of(value.engine).alive_since;
+                             value.epoch < state_of(value.engine).valid_since;
                   });
     for (auto const& value : found->second)
     {
-        bool const doubtful = value.epoch != state_of(value.engine).epoch;
-        hits.push_back(
-            {value.engine, doubtful ? value.tokens / doubtful_divisor : value.tokens});
+        bool const unconfirmed = value.epoch != state_of(value.engine).epoch;
+        hits.push_back({value.engine,
+                        unconfirmed ? value.tokens / unconfirmed_divisor : value.tokens});
     }
 }
 
--- a/src/policy/prefix_index.hpp
+++ b/src/policy/prefix_index.hpp
@@ -62,7 +62,7 @@
     {
         std::uint64_t next_sequence = 0; // 0: no event seen yet
         std::uint64_t epoch = 0;         // counts gaps
-        std::uint64_t alive_since = 0;   // entries of an earlier epoch are void
+        std::uint64_t valid_since = 0;   // entries of an earlier epoch are void
     };
 
     engine_state& state_of(std::uint32_t engine);
--- a/src/policy/quota_bucket.hpp
+++ b/src/policy/quota_bucket.hpp
@@ -56,8 +56,8 @@
 /// quota aren't refused for a difference of clocks or order: half of that as rate, half
 /// as capacity. The rest is for changes of the VM that keeps it: an unknown bucket starts
 /// with a part. `share` is the part of the fleet that this bucket serves.
-inline quota_bounds bounds_of(workspace_quota const& quota, quota_terms const& terms,
-                              double share)
+inline quota_bounds shared_bounds(workspace_quota const& quota, quota_terms const& terms,
+                                  double share)
 {
     constexpr double as_rate = 0.25;
     constexpr double as_capacity = 0.25;
@@ -65,10 +65,10 @@
     constexpr double second_ms = 1000;
     auto const       tolerance = static_cast<double>(terms.tolerance(quota));
     auto const       window_s = static_cast<double>(terms.window.count()) / second_ms;
-    double const     more = window_s > 0 ? tolerance * as_rate / window_s : 0;
+    double const     extra_rate = window_s > 0 ? tolerance * as_rate / window_s : 0;
     double const     capacity =
         (static_cast<double>(quota.burst) + tolerance * as_capacity) * share;
-    return {.rate = (static_cast<double>(quota.rate) + more) * share,
+    return {.rate = (static_cast<double>(quota.rate) + extra_rate) * share,
             .capacity = capacity,
             .start = std::min(capacity, tolerance * at_start * share)};
 }
@@ -82,7 +82,7 @@
                                  double share)
 {
     constexpr double half = 0.5;
-    auto             bounds = bounds_of(quota, terms, share);
+    auto             bounds = shared_bounds(quota, terms, share);
     bounds.rate *= half;
     bounds.start *= half;
     bounds.capacity = bounds.start;
@@ -121,8 +121,8 @@
             level_ -= cost;
             return std::nullopt;
         }
-        auto const wait = wait_for(needed - level_ + promised_);
-        promised_ += cost;
+        auto const wait = wait_for(needed - level_ + promised_units_);
+        promised_units_ += cost;
         return wait;
     }
 
@@ -149,8 +149,8 @@
     // 50 and 60000  ms; callers neither come back at once nor are told a time that can't
     // be
     //               known
-    static constexpr double least_wait = 50;
-    static constexpr double longest_wait = 60'000;
+    static constexpr double min_wait = 50;
+    static constexpr double max_wait = 60'000;
     static constexpr double second_ms = 1000;
 
     void fill(boot_clock::time_point now)
@@ -162,20 +162,19 @@
         auto const added =
             bounds_.rate * std::chrono::duration<double>(now - filled_).count();
         level_ = std::min(level_ + added, bounds_.capacity);
-        promised_ = std::max(promised_ - added, 0.0);
+        promised_units_ = std::max(promised_units_ - added, 0.0);
         filled_ = now;
     }
 
     millis wait_for(double units) const
     {
-        auto const wait =
-            bounds_.rate > 0 ? units / bounds_.rate * second_ms : longest_wait;
-        return millis{std::llround(std::clamp(wait, least_wait, longest_wait))};
+        auto const wait = bounds_.rate > 0 ? units / bounds_.rate * second_ms : max_wait;
+        return millis{std::llround(std::clamp(wait, min_wait, max_wait))};
     }
 
-    quota_bounds           bounds_;
-    double                 level_ = 0;
-    double                 promised_ = 0; // units of callers who were told when to return
+    quota_bounds bounds_;
+    double       level_ = 0;
+    double       promised_units_ = 0; // units of callers who were told when to return
     boot_clock::time_point filled_;
 };
 
--- a/src/policy/quota_course.hpp
+++ b/src/policy/quota_course.hpp
@@ -26,15 +26,15 @@
 {
 public:
     /// `order`: addresses of VMs that are heard and may keep the quota, the home first.
-    explicit quota_course(std::vector<std::string> order)
-        : order_(std::move(order)), asked_now_(first_not_asked())
+    explicit quota_course(std::vector<std::string> candidates)
+        : candidates_(std::move(candidates)), current_address_(first_unqueried())
     {
     }
 
     /// Whom to ask now; empty: nobody is left, or the question is decided.
     std::string const& address() const noexcept
     {
-        return asked_now_;
+        return current_address_;
     }
 
     bool decided() const noexcept
@@ -49,44 +49,45 @@
     }
 
     /// `named`: the home that a declining VM knows; empty: it stops.
-    void take(quota_reply reply, std::string const& named = {})
+    void take(quota_reply reply, std::string const& known_owner = {})
     {
-        auto const asked = std::exchange(asked_now_, {});
-        asked_.push_back(asked);
+        auto const queried = std::exchange(current_address_, {});
+        queried_.push_back(queried);
         decided_ = reply == quota_reply::decided;
-        if (decided_ || asked_.size() >= most_questions)
+        if (decided_ || queried_.size() >= max_queries)
         {
             return;
         }
         bool const declined = reply == quota_reply::declined;
-        if (declined && named.empty())
+        if (declined && known_owner.empty())
         {
-            left_ = asked;
+            left_ = queried;
         }
-        bool const leads_on = declined && !named.empty() && times_asked(named) < 2;
-        asked_now_ = leads_on ? named : first_not_asked();
+        bool const ask_known_owner =
+            declined && !known_owner.empty() && times_queried(known_owner) < 2;
+        current_address_ = ask_known_owner ? known_owner : first_unqueried();
     }
 
 private:
     // 3  questions for one call: to the home, to the next VM, to the home again
-    static constexpr std::size_t most_questions = 3;
+    static constexpr std::size_t max_queries = 3;
 
-    std::ptrdiff_t times_asked(std::string const& address) const
+    std::ptrdiff_t times_queried(std::string const& address) const
     {
-        return std::count(asked_.begin(), asked_.end(), address);
+        return std::count(queried_.begin(), queried_.end(), address);
     }
 
-    std::string first_not_asked() const
+    std::string first_unqueried() const
     {
-        auto const found =
-            std::find_if(order_.begin(), order_.end(),
-                         [&](std::string const& each) { return times_asked(each) == 0; });
-        return found == order_.end() ? std::string{} : *found;
+        auto const found = std::find_if(candidates_.begin(), candidates_.end(),
+                                        [&](std::string const& each)
+                                        { return times_queried(each) == 0; });
+        return found == candidates_.end() ? std::string{} : *found;
     }
 
-    std::vector<std::string> order_;
-    std::vector<std::string> asked_;
-    std::string              asked_now_;
+    std::vector<std::string> candidates_;
+    std::vector<std::string> queried_;
+    std::string              current_address_;
     std::string              left_;
     bool                     decided_ = false;
 };
--- a/src/policy/quota_home.cpp
+++ b/src/policy/quota_home.cpp
@@ -31,7 +31,7 @@
     {
         return {.outcome = quota_outcome::declined, .home = view.ahead};
     }
-    auto const bounds = bounds_of(quota, terms_, view.share);
+    auto const bounds = shared_bounds(quota, terms_, view.share);
     auto const bucket = buckets_.try_emplace(ask.workspace, bounds, now).first;
     bucket->second.limit(bounds, now);
     auto const wait = bucket->second.take(ask.units, now);
--- a/src/policy/read_model.hpp
+++ b/src/policy/read_model.hpp
@@ -1,6 +1,6 @@
 // How long engines take to read prompts, learned from reads.
 //
-// Index: 1 read_model_options, 2 read_sample, 3 read_model
+// Index: 1 prefill_model_options, 2 prefill_sample, 3 prefill_model
 //
 // Load answered: engines that differ from deployment to deployment by a factor of ten,
 // and in what they take before a first token however short the prompt is. A time for each
@@ -17,33 +17,33 @@
 namespace marigoldcrank
 {
 
-struct read_model_options
+struct prefill_model_options
 {
     // 50, 5 and 2000  tokens a ms: start and bounds of an engine's speed
-    double first_speed = 50;
-    double least_speed = 5;
-    double most_speed = 2000;
+    double initial_speed = 50;
+    double min_speed = 5;
+    double max_speed = 2000;
     // 50 and 1000  ms; start and bound of the time that every read takes
-    double first_fixed = 50;
-    double most_fixed = 1000;
+    double initial_fixed_ms = 50;
+    double max_fixed_ms = 1000;
     // 30 and 2000  ms; start and bound of the time from a hand-over to the first event
-    double first_handover = 30;
-    double most_handover = 2000;
+    double initial_handoff_ms = 30;
+    double max_handoff_ms = 2000;
     // 0.06  of the speed, and 0.08 of the fixed times; steps of one sample
     double speed_step = 0.06;
     double fixed_step = 0.08;
     // 800 and 3000  tokens; shorter reads tell of the fixed time only, longer ones of the
     //               speed only
-    std::int64_t short_read = 800;
-    std::int64_t long_read = 3000;
+    std::int64_t short_prompt = 800;
+    std::int64_t long_prompt = 3000;
     // 20    ms of waiting that was expected; a sample that waited longer doesn't count
-    double most_wait = 20;
+    double max_wait_ms = 20;
 
-    bool operator==(read_model_options const&) const = default;
+    bool operator==(prefill_model_options const&) const = default;
 };
 
 /// One prompt, read by an engine that does nothing else.
-struct read_sample
+struct prefill_sample
 {
     std::int64_t         tokens = 0;  // that weren't cached, as far as known
     double               wait_ms = 0; // expected before them
@@ -51,34 +51,34 @@
 };
 
 /// Follows medians by steps of a fixed size, so that no single sample moves it far. Pure.
-class read_model
+class prefill_model
 {
 public:
-    explicit read_model(read_model_options options = {})
-        : options_(options), token_ms_(1 / options.first_speed),
-          fixed_ms_(options.first_fixed), handover_ms_(options.first_handover)
+    explicit prefill_model(prefill_model_options options = {})
+        : options_(options), token_ms_(1 / options.initial_speed),
+          fixed_ms_(options.initial_fixed_ms), handoff_ms_(options.initial_handoff_ms)
     {
     }
 
-    void read(read_sample const& sample)
+    void read(prefill_sample const& sample)
     {
-        if (sample.tokens <= 0 || sample.wait_ms > options_.most_wait)
+        if (sample.tokens <= 0 || sample.wait_ms > options_.max_wait_ms)
         {
             return;
         }
         auto const took = milliseconds(sample.took);
         auto const tokens = static_cast<double>(sample.tokens);
         bool const slower = took > fixed_ms_ + tokens * token_ms_;
-        if (sample.tokens < options_.long_read)
+        if (sample.tokens < options_.long_prompt)
         {
-            fixed_ms_ = follow(fixed_ms_, slower, options_.fixed_step);
-            fixed_ms_ = std::clamp(fixed_ms_, 1.0, options_.most_fixed);
+            fixed_ms_ = adjust(fixed_ms_, slower, options_.fixed_step);
+            fixed_ms_ = std::clamp(fixed_ms_, 1.0, options_.max_fixed_ms);
         }
-        if (sample.tokens >= options_.short_read)
+        if (sample.tokens >= options_.short_prompt)
         {
-            token_ms_ = follow(token_ms_, slower, options_.speed_step);
+            token_ms_ = adjust(token_ms_, slower, options_.speed_step);
             token_ms_ =
-                std::clamp(token_ms_, 1 / options_.most_speed, 1 / options_.least_speed);
+                std::clamp(token_ms_, 1 / options_.max_speed, 1 / options_.min_speed);
             ++samples_;
         }
     }
@@ -86,9 +86,9 @@
     /// A call whose prompt another engine had read gave its first event after `took`.
     void handed_over(boot_clock::duration took)
     {
-        bool const slower = milliseconds(took) > handover_ms_;
-        handover_ms_ = follow(handover_ms_, slower, options_.fixed_step);
-        handover_ms_ = std::clamp(handover_ms_, 1.0, options_.most_handover);
+        bool const slower = milliseconds(took) > handoff_ms_;
+        handoff_ms_ = adjust(handoff_ms_, slower, options_.fixed_step);
+        handoff_ms_ = std::clamp(handoff_ms_, 1.0, options_.max_handoff_ms);
     }
 
     /// Tokens a ms that an engine reads.
@@ -106,7 +106,7 @@
     /// From a hand-over to the first event, in ms.
     double handover_ms() const noexcept
     {
-        return handover_ms_;
+        return handoff_ms_;
     }
 
     /// Whether enough reads were seen to go by the speed.
@@ -122,16 +122,16 @@
         return std::chrono::duration<double, std::milli>(value).count();
     }
 
-    static double follow(double value, bool up, double step)
+    static double adjust(double value, bool up, double step)
     {
         return up ? value * (1 + step) : value / (1 + step);
     }
 
-    read_model_options options_;
-    double             token_ms_;
-    double             fixed_ms_;
-    double             handover_ms_;
-    std::int64_t       samples_ = 0;
+    prefill_model_options options_;
+    double                token_ms_;
+    double                fixed_ms_;
+    double                handoff_ms_;
+    std::int64_t          samples_ = 0;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/relay_plan.cpp
+++ b/src/policy/relay_plan.cpp
@@ -20,7 +20,7 @@
 
 using contacts = std::vector<vm_contact>;
 
-contacts choose(contacts members, std::size_t count)
+contacts choose_best(contacts members, std::size_t count)
 {
     std::sort(members.begin(), members.end(),
               [](vm_contact const& left, vm_contact const& right)
@@ -36,25 +36,25 @@
 /// fleet, the next one stands in for it.
 contacts store_readers(std::map<std::string, contacts> const& centres)
 {
-    contacts firsts;
+    contacts first_relays;
     for (auto const& [name, members] : centres)
     {
-        for (auto& first : choose(members, 1))
+        for (auto& first : choose_best(members, 1))
         {
-            firsts.push_back(std::move(first));
+            first_relays.push_back(std::move(first));
         }
     }
     constexpr std::size_t reader_and_stand_in = 2;
-    return choose(std::move(firsts), reader_and_stand_in);
+    return choose_best(std::move(first_relays), reader_and_stand_in);
 }
 
 /// Whom `own` asks for records of the store. Nobody asks a VM that may ask it in turn.
-std::vector<std::string> whom_to_ask(std::map<std::string, contacts> const& centres,
-                                     contacts const& home, vm_contact const& own)
+std::vector<std::string> record_sources(std::map<std::string, contacts> const& centres,
+                                        contacts const& own_relays, vm_contact const& own)
 {
     std::vector<std::string> records;
-    bool const               leads = home.front() == own;
-    for (auto const& vm : leads ? store_readers(centres) : home)
+    bool const               leads = own_relays.front() == own;
+    for (auto const& vm : leads ? store_readers(centres) : own_relays)
     {
         if (vm == own)
         {
@@ -80,29 +80,30 @@
     {
         centres[vm.data_centre].push_back(vm);
     }
-    auto const home = choose(centres[own.data_centre], options.relays);
+    auto const own_relays = choose_best(centres[own.data_centre], options.relays);
     relay_plan plan;
     plan.mesh = all.size() <= options.mesh;
-    plan.answers = std::find(home.begin(), home.end(), own) != home.end();
-    plan.leads = home.front() == own;
+    plan.answers =
+        std::find(own_relays.begin(), own_relays.end(), own) != own_relays.end();
+    plan.leads = own_relays.front() == own;
     plan.relay = !plan.mesh && plan.answers;
     for (auto const& [name, members] : centres)
     {
-        bool const at_home = name == own.data_centre;
-        bool const each = plan.mesh || (plan.relay && at_home);
-        if (!each && !plan.relay && !at_home)
+        bool const in_own_centre = name == own.data_centre;
+        bool const every_vm = plan.mesh || (plan.relay && in_own_centre);
+        if (!every_vm && !plan.relay && !in_own_centre)
         {
             continue; // its relays tell ours
         }
-        for (auto const& vm : each ? members : choose(members, options.relays))
+        for (auto const& vm : every_vm ? members : choose_best(members, options.relays))
         {
             plan.digests.insert(vm.digests);
         }
     }
-    plan.records = whom_to_ask(centres, home, own);
+    plan.records = record_sources(centres, own_relays, own);
     for (auto const& [name, members] : centres)
     {
-        for (auto const& vm : choose(members, options.relays))
+        for (auto const& vm : choose_best(members, options.relays))
         {
             plan.homes.push_back(vm.records);
         }
--- a/src/policy/role_planner.cpp
+++ b/src/policy/role_planner.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t percent = 100;
 constexpr std::int64_t milli = 1'000;
 constexpr std::int64_t micros_per_second = 1'000'000;
-constexpr std::int64_t pressed_percent = 100; // of the engines needed: short of them
+constexpr std::int64_t shortage_percent = 100; // of the engines needed: short of them
 
 /// Thousandths of an engine that decode `output_tokens` a second in full batches.
 std::int64_t decode_need(std::int64_t output_tokens, engine_speed const& speed)
@@ -126,8 +126,8 @@
                                std::vector<role_engine> const& engines, millis since)
 {
     auto const usable = static_cast<std::int64_t>(engines.size());
-    bool const pressed = (plan.prefill_milli + plan.decode_milli) * percent >
-                         usable * milli * pressed_percent;
+    bool const short_of_engines = (plan.prefill_milli + plan.decode_milli) * percent >
+                                  usable * milli * shortage_percent;
     while (!ordered_.empty() &&
            now_ - ordered_.front() > millis{options_.orders_window_ms})
     {
@@ -149,17 +149,17 @@
         }
         auto const fitting = role_for(wish.use);
         bool const unfit = role != engine_role::mixed && role != fitting;
-        auto const loss = unfit                        ? percent
-                          : pressed && role != fitting ? options_.gain_percent
-                                                       : -options_.gain_percent;
+        auto const loss = unfit                                 ? percent
+                          : short_of_engines && role != fitting ? options_.gain_percent
+                                                                : -options_.gain_percent;
         memory.regret_ms =
             std::max<std::int64_t>(0, memory.regret_ms + since.count() * loss / percent);
         wish.regret_ms = memory.regret_ms;
         bool const due =
             memory.regret_ms * percent >= options_.change_ms * options_.regret_percent;
         bool const budget =
-            static_cast<std::int64_t>(ordered_.size()) < options_.most_orders;
-        if (due && budget && changing < options_.most_changing)
+            static_cast<std::int64_t>(ordered_.size()) < options_.max_orders;
+        if (due && budget && changing < options_.max_changing)
         {
             ordered_.push_back(now_);
             wish.role = unfit ? engine_role::mixed : fitting;
--- a/src/policy/role_planner.hpp
+++ b/src/policy/role_planner.hpp
@@ -1,6 +1,6 @@
 // Roles of a group's engines: what routing uses each for, and which role to order.
 //
-// Index: 1 role_engine, 2 role_demand, 3 role_wish, 4 role_planner
+// Index: 1 role_engine, 2 role_demand, 3 engine_assignment, 4 role_planner
 //
 // Two speeds. Uses follow demand at once and need no order: a mixed engine that gets only
 // long prompts, whose KV cache then moves to another, is a prefill engine. A role is
@@ -46,24 +46,24 @@
 };
 
 /// What is wanted of one engine, with the figures that led to it.
-struct role_wish
+struct engine_assignment
 {
     engine_use   use = engine_use::any;
     engine_role  role = engine_role::mixed; // to be ordered if it differs
     std::int64_t regret_ms = 0;             // service lost so far for want of a change
 
-    bool operator==(role_wish const&) const = default;
+    bool operator==(engine_assignment const&) const = default;
 };
 
 /// All wishes of one moment and their reasons.
 struct engine_role_plan
 {
-    std::vector<role_wish> wishes;                // by engine
-    std::int64_t           slow_step_percent = 0; // of steps, were all engines mixed
-    std::int64_t           prefill_milli = 0; // engines needed for long prompts, 1000ths
-    std::int64_t           decode_milli = 0;  // engines needed for the rest, 1000ths
-    std::int64_t           prefill_engines = 0; // planned
-    std::int64_t           orders = 0;          // wishes that need an order now
+    std::vector<engine_assignment> wishes; // by engine
+    std::int64_t slow_step_percent = 0;    // of steps, were all engines mixed
+    std::int64_t prefill_milli = 0;        // engines needed for long prompts, 1000ths
+    std::int64_t decode_milli = 0;         // engines needed for the rest, 1000ths
+    std::int64_t prefill_engines = 0;      // planned
+    std::int64_t orders = 0;               // wishes that need an order now
 
     bool operator==(engine_role_plan const&) const = default;
 };
--- a/src/policy/role_split.cpp
+++ b/src/policy/role_split.cpp
@@ -11,8 +11,10 @@
 role_need need_of(work_demand const& fleet, std::int64_t slots,
                   role_split_options const& options)
 {
-    auto const places = std::max(1.0, static_cast<double>(slots) * options.stream_share);
-    return {fleet.prefill_engines() / options.prefill_load, fleet.streams / places};
+    auto const streams_per_engine =
+        std::max(1.0, static_cast<double>(slots) * options.stream_share);
+    return {fleet.prefill_engines() / options.prefill_load,
+            fleet.streams / streams_per_engine};
 }
 
 std::int64_t wanted_prefill(std::int64_t engines, std::int64_t prefill,
@@ -20,23 +22,24 @@
 {
     auto const load = [&](std::int64_t count)
     {
-        auto const rest = static_cast<double>(engines - count);
+        auto const decode_engines = static_cast<double>(engines - count);
         if (need.beside)
         {
             // An engine that decodes reads at half the speed of one that reads only.
             return (need.prefill + need.decode / 2) /
-                   (static_cast<double>(count) + rest / 2);
+                   (static_cast<double>(count) + decode_engines / 2);
         }
         return std::max(need.prefill /
                             static_cast<double>(std::max<std::int64_t>(count, 1)),
-                        need.decode / std::max(rest, 1.0));
+                        need.decode / std::max(decode_engines, 1.0));
     };
     auto best = prefill;
     for (std::int64_t count = 1; count < engines; ++count)
     {
         best = load(count) < load(best) ? count : best;
     }
-    bool const busy = load(prefill) > (need.beside ? options.busy_beside : options.busy);
+    bool const busy =
+        load(prefill) > (need.beside ? options.busy_colocated : options.busy);
     bool const helps = load(best) < options.gain * load(prefill);
     return busy && helps ? best : prefill;
 }
@@ -50,32 +53,35 @@
     std::int64_t                        changing = 0;
     for (auto const& each : engines)
     {
-        bool const reads = each.role == engine_role::prefill;
-        prefill += reads ? 1 : 0;
-        by_centre[each.server->data_centre] += reads ? 1 : 0;
-        changing += now - each.changed < options.settle ? 1 : 0;
+        bool const is_prefill = each.role == engine_role::prefill;
+        prefill += is_prefill ? 1 : 0;
+        by_centre[each.server->data_centre] += is_prefill ? 1 : 0;
+        changing += now - each.changed < options.change_interval ? 1 : 0;
     }
     auto const count = static_cast<std::int64_t>(engines.size());
-    auto const off = wanted_prefill(count, prefill, need, options) - prefill;
-    auto const room = std::max<std::int64_t>(1, count / options.at_once) - changing;
-    if (off == 0 || room <= 0)
+    auto const change = wanted_prefill(count, prefill, need, options) - prefill;
+    auto const allowed =
+        std::max<std::int64_t>(1, count / options.change_divisor) - changing;
+    if (change == 0 || allowed <= 0)
     {
         return {};
     }
-    bool const more = off > 0;
+    bool const more_prefill = change > 0;
     auto const movable = [&](split_engine const& each)
     {
-        bool const reads = each.role == engine_role::prefill;
-        return reads != more && now - each.changed >= options.settle;
+        bool const is_prefill = each.role == engine_role::prefill;
+        return is_prefill != more_prefill &&
+               now - each.changed >= options.change_interval;
     };
     std::vector<backend_server const*> result;
-    while (static_cast<std::int64_t>(result.size()) < std::min(room, std::abs(off)))
+    while (static_cast<std::int64_t>(result.size()) < std::min(allowed, std::abs(change)))
     {
         // A data centre short of the wanted role changes first, there the idlest engine.
         auto const rank = [&](split_engine const& each)
         {
-            auto const reading = by_centre[each.server->data_centre];
-            return std::tuple{more ? reading : -reading, each.running, each.server->id};
+            auto const centre_prefill = by_centre[each.server->data_centre];
+            return std::tuple{more_prefill ? centre_prefill : -centre_prefill,
+                              each.running, each.server->id};
         };
         split_engine const* best = nullptr;
         for (auto const& each : engines)
@@ -92,7 +98,7 @@
             break;
         }
         result.push_back(best->server);
-        by_centre[best->server->data_centre] += more ? 1 : -1;
+        by_centre[best->server->data_centre] += more_prefill ? 1 : -1;
     }
     return result;
 }
--- a/src/policy/role_split.hpp
+++ b/src/policy/role_split.hpp
@@ -31,14 +31,14 @@
     double busy = 0.5;
     // 0.8   the same where engines that decode take over reading: what one role lacks is
     //       found at the other, and all must be busy before a change is worth it
-    double busy_beside = 0.8;
+    double busy_colocated = 0.8;
     // 0.8   of the fuller role's load that must be left after a change: each takes an
     //       engine out for seconds, and a swing back would take it out again
     double gain = 0.8;
     // 9000  ms; before the same engine may be changed again
-    millis settle{9000};
+    millis change_interval{9000};
     // 6     one engine in so many may change at a time
-    std::int64_t at_once = 6;
+    std::int64_t change_divisor = 6;
 
     bool operator==(role_split_options const&) const = default;
 };
--- a/src/policy/spending_plan.cpp
+++ b/src/policy/spending_plan.cpp
@@ -10,7 +10,7 @@
 {
 constexpr std::int64_t percent = 100;
 constexpr std::int64_t milli = 1'000;
-constexpr std::int64_t dear_price = 100;
+constexpr std::int64_t full_price_cost = 100;
 
 std::int64_t servers_for(std::int64_t need_milli, std::int64_t fill_percent)
 {
@@ -47,9 +47,9 @@
 struct totals
 {
     std::int64_t zones = 0;
-    std::int64_t dear_most = 0;
-    std::int64_t cheap_most = 0;
-    std::int64_t dear_least = 0;
+    std::int64_t full_price_max = 0;
+    std::int64_t cheap_max = 0;
+    std::int64_t full_price_min = 0;
 };
 
 totals totals_of(spending_input const& input)
@@ -60,9 +60,9 @@
         if (input.reachable[zone])
         {
             ++sum.zones;
-            sum.dear_most += input.most[zone].dear;
-            sum.cheap_most += input.most[zone].cheap;
-            sum.dear_least += std::min(input.least, input.most[zone].dear);
+            sum.full_price_max += input.most[zone].dear;
+            sum.cheap_max += input.most[zone].cheap;
+            sum.full_price_min += std::min(input.least, input.most[zone].dear);
         }
     }
     return sum;
@@ -75,7 +75,7 @@
 
 /// Cheap servers of the data centre that gets most of `cheap`: where limits differ, more
 /// than an even part.
-std::int64_t most_in_a_zone(spending_input const& input, std::int64_t cheap)
+std::int64_t max_cheap_in_zone(spending_input const& input, std::int64_t cheap)
 {
     std::int64_t most = 0;
     spread(
@@ -86,11 +86,11 @@
 }
 
 /// Dear servers needed beside `cheap` ones.
-std::int64_t dear_beside(spending_input const& input, std::int64_t cheap,
-                         totals const& sum, spending_plan const& plan)
+std::int64_t full_price_needed(spending_input const& input, std::int64_t cheap,
+                               totals const& sum, spending_plan const& plan)
 {
-    auto const left = cheap - most_in_a_zone(input, cheap);
-    return std::max({sum.dear_least, plan.for_load - cheap, plan.for_loss - left});
+    auto const left = cheap - max_cheap_in_zone(input, cheap);
+    return std::max({sum.full_price_min, plan.for_load - cheap, plan.for_loss - left});
 }
 } // namespace
 
@@ -101,16 +101,16 @@
     plan.for_load = servers_for(input.need_milli, options.fill_percent);
     plan.for_loss = servers_for(input.need_milli, options.loss_percent);
     auto const   sum = totals_of(input);
-    server_count best{sum.dear_most, sum.cheap_most};
+    server_count best{sum.full_price_max, sum.cheap_max};
     auto const   price_of = [&](server_count const& count)
     {
-        return count.dear * dear_price + count.cheap * options.cheap_price;
+        return count.dear * full_price_cost + count.cheap * options.cheap_price;
     };
     plan.short_of_servers = true;
-    for (std::int64_t cheap = 0; cheap <= sum.cheap_most; ++cheap)
+    for (std::int64_t cheap = 0; cheap <= sum.cheap_max; ++cheap)
     {
-        server_count const candidate{dear_beside(input, cheap, sum, plan), cheap};
-        if (candidate.dear > sum.dear_most)
+        server_count const candidate{full_price_needed(input, cheap, sum, plan), cheap};
+        if (candidate.dear > sum.full_price_max)
         {
             continue;
         }
@@ -138,7 +138,7 @@
 
 namespace
 {
-void keep(spending_plan& plan, spending_input const& input)
+void keep_present(spending_plan& plan, spending_input const& input)
 {
     for (std::size_t zone = 0; zone < input.have.size(); ++zone)
     {
@@ -153,21 +153,22 @@
 
 spending_plan spending_planner::step(spending_input input, boot_clock::time_point now)
 {
-    while (!falling_.empty() && falling_.back().need_milli <= input.need_milli)
+    while (!decreasing_needs_.empty() &&
+           decreasing_needs_.back().need_milli <= input.need_milli)
     {
-        falling_.pop_back();
+        decreasing_needs_.pop_back();
     }
-    falling_.push_back({now, input.need_milli});
-    while (now - falling_.front().at > millis{options_.release_ms})
+    decreasing_needs_.push_back({now, input.need_milli});
+    while (now - decreasing_needs_.front().at > millis{options_.release_ms})
     {
-        falling_.pop_front();
+        decreasing_needs_.pop_front();
     }
-    input.need_milli = falling_.front().need_milli;
+    input.need_milli = decreasing_needs_.front().need_milli;
     auto plan = plan_spending(input, options_);
     started_ = started_ == boot_clock::time_point{} ? now : started_;
     if (now - started_ < millis{options_.release_ms})
     {
-        keep(plan, input);
+        keep_present(plan, input);
     }
     return plan;
 }
--- a/src/policy/spending_plan.hpp
+++ b/src/policy/spending_plan.hpp
@@ -72,8 +72,8 @@
     };
 
     spending_options       options_;
-    boot_clock::time_point started_{}; // of watching; epoch: not yet
-    std::deque<sample>     falling_;   // recent needs, falling: the first is the peak
+    boot_clock::time_point started_{};    // of watching; epoch: not yet
+    std::deque<sample> decreasing_needs_; // recent needs, falling: the first is the peak
 };
 
 } // namespace marigoldcrank
--- a/src/policy/wanted_state.cpp
+++ b/src/policy/wanted_state.cpp
@@ -32,8 +32,8 @@
 }
 
 /// An engine that can be spared for `wanted`: a mixed one, else one beyond its own plan.
-std::optional<std::string> donor(std::vector<role_view> const& engines, engine_role other,
-                                 bool other_has_surplus)
+std::optional<std::string> spare_engine(std::vector<role_view> const& engines,
+                                        engine_role other, bool other_has_surplus)
 {
     auto const mixed = first_in_role(engines, engine_role::mixed);
     return mixed || !other_has_surplus ? mixed : first_in_role(engines, other);
@@ -61,12 +61,12 @@
     if (prefill < plan.prefill)
     {
         role = engine_role::prefill;
-        chosen = donor(engines, engine_role::decode, decode > plan.decode);
+        chosen = spare_engine(engines, engine_role::decode, decode > plan.decode);
     }
     if (!chosen && decode < plan.decode)
     {
         role = engine_role::decode;
-        chosen = donor(engines, engine_role::prefill, prefill > plan.prefill);
+        chosen = spare_engine(engines, engine_role::prefill, prefill > plan.prefill);
     }
     if (!chosen && (prefill > plan.prefill || decode > plan.decode))
     {
--- a/src/policy/work_meter.hpp
+++ b/src/policy/work_meter.hpp
@@ -52,53 +52,55 @@
     /// A prompt is about to be read; `tokens` that no cache is likely to hold.
     void prompt(std::int64_t tokens, boot_clock::time_point now)
     {
-        fade(now);
+        decay(now);
         prompt_rate_ += static_cast<double>(tokens) / decay_s;
     }
 
     /// An engine has read a prompt.
-    void prompt_read(read_sample const& sample)
+    void prompt_read(prefill_sample const& sample)
     {
-        reads_.read(sample);
+        prefill_.read(sample);
     }
 
     /// A call whose prompt another engine had read gave its first event after `took`.
     void handed_over(boot_clock::duration took)
     {
-        reads_.handed_over(took);
+        prefill_.handed_over(took);
     }
 
     /// An engine that decodes has read a prompt beside its streams and given the first
     /// event.
-    void read_beside(read_sample const& sample)
+    void read_beside(prefill_sample const& sample)
     {
-        beside_.read(sample);
+        colocated_.read(sample);
     }
 
     /// Reading at engines that do nothing else.
-    read_model const& reads() const noexcept
+    prefill_model const& reads() const noexcept
     {
-        return reads_;
+        return prefill_;
     }
 
     /// Reading at engines that decode. What a queue that no VM has heard of adds shows in
     /// the fixed part of either, so that calls move to the role that has room.
-    read_model const& beside() const noexcept
+    prefill_model const& beside() const noexcept
     {
-        return beside_;
+        return colocated_;
     }
 
     /// A stream has ended; time from its first to its last event.
     void stream(std::int64_t events, boot_clock::duration took,
                 boot_clock::time_point now)
     {
-        fade(now);
+        decay(now);
         event_rate_ += static_cast<double>(events) / decay_s;
-        if (events >= least_events)
+        if (events >= min_events)
         {
-            auto const gap = std::chrono::duration<double>(took).count() /
-                             static_cast<double>(events - 1);
-            best_gap_ = best_gap_ == 0 ? gap : std::min(best_gap_ / keep_best, gap);
+            auto const interval = std::chrono::duration<double>(took).count() /
+                                  static_cast<double>(events - 1);
+            best_interval_ = best_interval_ == 0
+                                 ? interval
+                                 : std::min(best_interval_ / interval_decay, interval);
         }
     }
 
@@ -106,52 +108,54 @@
     double prefill_speed() const
     {
         constexpr double second_ms = 1000;
-        return reads_.observed() ? reads_.speed() * second_ms : 0;
+        return prefill_.observed() ? prefill_.speed() * second_ms : 0;
     }
 
     work_demand demand(boot_clock::time_point now)
     {
-        fade(now);
-        auto const known = share_known(now);
-        return {prompt_rate_ / known, prefill_speed(), event_rate_ / known * best_gap_};
+        decay(now);
+        auto const covered = measured_share(now);
+        return {prompt_rate_ / covered, prefill_speed(),
+                event_rate_ / covered * best_interval_};
     }
 
 private:
     static constexpr double decay_s = 8; // s; shorter than a swing, longer than a burst
     // 2     s; a rate that was measured for less isn't extrapolated further
-    static constexpr double least_measured_s = 2;
+    static constexpr double min_measured_s = 2;
     // Of a best value, with each new sample: some thousand samples, all of them slow, are
     // needed to believe in a slower engine. Faster forgetting takes a queue for slowness.
-    static constexpr double       keep_best = 0.9998;
-    static constexpr std::int64_t least_events = 4; // fewer don't show a pace
+    static constexpr double       interval_decay = 0.9998;
+    static constexpr std::int64_t min_events = 4; // fewer don't show a pace
 
     /// A rate that decays is too low until it has been measured for a while: by so much.
-    double share_known(boot_clock::time_point now) const
+    double measured_share(boot_clock::time_point now) const
     {
-        auto const measured = std::chrono::duration<double>(now - began_).count();
-        return 1 - std::exp(-std::max(measured, least_measured_s) / decay_s);
+        auto const measured = std::chrono::duration<double>(now - started_at_).count();
+        return 1 - std::exp(-std::max(measured, min_measured_s) / decay_s);
     }
 
-    void fade(boot_clock::time_point now)
+    void decay(boot_clock::time_point now)
     {
-        if (began_ == boot_clock::time_point{})
+        if (started_at_ == boot_clock::time_point{})
         {
-            began_ = now;
+            started_at_ = now;
         }
-        auto const passed = std::chrono::duration<double>(now - seen_).count();
+        auto const passed = std::chrono::duration<double>(now - decayed_at_).count();
         auto const factor = std::exp(-std::max(passed, 0.0) / decay_s);
         prompt_rate_ *= factor;
         event_rate_ *= factor;
-        seen_ = now;
+        decayed_at_ = now;
     }
 
-    read_model             reads_;
-    read_model             beside_{{.first_speed = read_model_options{}.first_speed / 2}};
-    boot_clock::time_point began_{};
-    boot_clock::time_point seen_{};
-    double                 prompt_rate_ = 0; // tokens a second
-    double                 event_rate_ = 0;  // events a second
-    double                 best_gap_ = 0;    // s between events
+    prefill_model prefill_;
+    prefill_model colocated_{
+        {.initial_speed = prefill_model_options{}.initial_speed / 2}};
+    boot_clock::time_point started_at_{};
+    boot_clock::time_point decayed_at_{};
+    double                 prompt_rate_ = 0;   // tokens a second
+    double                 event_rate_ = 0;    // events a second
+    double                 best_interval_ = 0; // s between events
 };
 
 } // namespace marigoldcrank
--- a/tests/property/load_relay_property_test.cpp
+++ b/tests/property/load_relay_property_test.cpp
@@ -16,7 +16,7 @@
     return boot_clock::time_point{millis{value}};
 }
 
-struct played_vm
+struct simulated_vm
 {
     vm_contact contact;
     relay_plan plan;
@@ -24,7 +24,7 @@
     vm_work    own;
 };
 
-std::vector<played_vm> play_fleet(int centres, int vms_each)
+std::vector<simulated_vm> make_fleet(int centres, int vms_each)
 {
     std::set<vm_contact> contacts;
     for (int index = 0; index < centres * vms_each; ++index)
@@ -32,10 +32,10 @@
         contacts.insert({.digests = "vm-" + std::to_string(index),
                          .data_centre = "centre-" + std::to_string(index % centres)});
     }
-    std::vector<played_vm> vms;
+    std::vector<simulated_vm> vms;
     for (auto const& contact : contacts)
     {
-        played_vm vm{.contact = contact};
+        simulated_vm vm{.contact = contact};
         vm.plan = plan_relays(contacts, contact, {.mesh = 8});
         vm.relay.follow(vm.plan, contact.digests, contact.data_centre);
         vms.push_back(std::move(vm));
@@ -44,17 +44,17 @@
 }
 
 /// Each VM publishes in turn, and whoever follows it hears it at once.
-void exchange(std::vector<played_vm>& vms, boot_clock::time_point now)
+void publish_all(std::vector<simulated_vm>& vms, boot_clock::time_point now)
 {
     for (auto& sender : vms)
     {
         for (auto const& digest : sender.relay.digests(sender.own, now))
         {
-            for (auto& hearer : vms)
+            for (auto& receiver : vms)
             {
-                if (hearer.plan.digests.count(sender.contact.digests) > 0)
+                if (receiver.plan.digests.count(sender.contact.digests) > 0)
                 {
-                    hearer.relay.absorb(digest, now);
+                    receiver.relay.absorb(digest, now);
                 }
             }
         }
@@ -65,7 +65,7 @@
 // look full that are free, and callers would be refused.
 RC_GTEST_PROP(load_relay, steady_work_of_all_others_is_counted_once_everywhere, ())
 {
-    auto         vms = play_fleet(*rc::gen::inRange(1, 5), *rc::gen::inRange(1, 9));
+    auto         vms = make_fleet(*rc::gen::inRange(1, 5), *rc::gen::inRange(1, 9));
     std::int64_t total = 0;
     for (auto& vm : vms)
     {
@@ -78,7 +78,7 @@
     constexpr int rounds = 5; // a sum takes three digests to come round
     for (int round = 0; round < rounds; ++round)
     {
-        exchange(vms, at_ms(1000 + 150 * round));
+        publish_all(vms, at_ms(1000 + 150 * round));
     }
     auto const now = at_ms(1000 + 150 * rounds);
     for (auto const& vm : vms)
@@ -95,18 +95,18 @@
 // rather than added up.
 TEST(load_relay, members_go_on_with_the_other_relay)
 {
-    auto vms = play_fleet(2, 8);
+    auto vms = make_fleet(2, 8);
     for (auto& vm : vms)
     {
         vm.own.loads["engine"].running = 1;
     }
-    exchange(vms, at_ms(1000));
+    publish_all(vms, at_ms(1000));
     auto const dead = std::find_if(vms.begin(), vms.end(),
-                                   [](played_vm const& vm) { return vm.plan.relay; });
+                                   [](simulated_vm const& vm) { return vm.plan.relay; });
     vms.erase(dead);
     for (int round = 0; round < 12; ++round)
     {
-        exchange(vms, at_ms(1150 + 150 * round));
+        publish_all(vms, at_ms(1150 + 150 * round));
     }
     for (auto const& vm : vms)
     {
@@ -117,15 +117,15 @@
 // All relays of a data centre fall silent. Old sums must not steer calls for ever.
 TEST(load_relay, sums_that_are_not_renewed_are_forgotten)
 {
-    auto vms = play_fleet(1, 12);
+    auto vms = make_fleet(1, 12);
     for (auto& vm : vms)
     {
         vm.own.loads["engine"].running = 1;
     }
-    exchange(vms, at_ms(1000));
-    exchange(vms, at_ms(1150));
-    auto const member = std::find_if(vms.begin(), vms.end(),
-                                     [](played_vm const& vm) { return !vm.plan.relay; });
+    publish_all(vms, at_ms(1000));
+    publish_all(vms, at_ms(1150));
+    auto const member = std::find_if(
+        vms.begin(), vms.end(), [](simulated_vm const& vm) { return !vm.plan.relay; });
     ASSERT_NE(member, vms.end());
     EXPECT_EQ(member->relay.at("engine", at_ms(1200)).running, 11);
     EXPECT_EQ(member->relay.at("engine", at_ms(2500)).running, 0);
--- a/tests/property/order_property_test.cpp
+++ b/tests/property/order_property_test.cpp
@@ -105,10 +105,10 @@
 RC_GTEST_PROP(order_property, only_the_current_epoch_opens_and_closes_orders, ())
 {
     order_records world;
-    auto const story = *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
+    auto const steps = *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
         rc::gen::tuple(rc::gen::inRange(0, 5), rc::gen::inRange(0, 3),
                        rc::gen::inRange(0, 3), rc::gen::inRange(0, 12)));
-    for (auto const& [what, who, target, id] : story)
+    for (auto const& [what, who, target, id] : steps)
     {
         if (what == 0)
         {
@@ -140,10 +140,10 @@
 constexpr std::int64_t longest_lag = 300;   // of the list, ms
 constexpr std::int64_t longest_delay = 300; // of the platform's own doing, ms
 constexpr millis       settle_limit{1000};
-constexpr std::int64_t look_every = 50; // ms
+constexpr std::int64_t poll_interval = 50; // ms
 
 /// What a purchase meets on its way.
-enum class passage
+enum class delivery
 {
     answered,
     answer_lost,
@@ -162,7 +162,7 @@
     }
 
     /// The orderer looks once; what it sends meets `way` and acts `delay` later.
-    void look(passage way, std::int64_t delay)
+    void poll(delivery fate, std::int64_t delay)
     {
         auto const         listed = list();
         std::vector<order> open;
@@ -172,7 +172,7 @@
                 settle_vm(at->wanted, at->id, progress_of(*at), listed, true);
             if (step == order_step::send)
             {
-                send(*at, way, delay);
+                send(*at, fate, delay);
             }
             bool const closed =
                 step == order_step::close_done || step == order_step::close_abandoned;
@@ -191,14 +191,14 @@
             open_.push_back({"order-" + std::to_string(++ids_), *wanted, epoch_, now_,
                              order_sending::not_sent});
         }
-        now_ += look_every;
+        now_ += poll_interval;
     }
 
     /// Another orderer takes over; it knows the open orders and nothing of their sending.
-    void succeed()
+    void take_over()
     {
         ++epoch_;
-        now_ += look_every;
+        now_ += poll_interval;
         for (auto& entry : open_)
         {
             entry.seen_at = now_;
@@ -253,11 +253,11 @@
                 .settle_limit = settle_limit};
     }
 
-    void send(purchase& own, passage way, std::int64_t delay)
+    void send(purchase& own, delivery fate, std::int64_t delay)
     {
-        own.sending = way == passage::refused ? order_sending::without_effect
-                                              : order_sending::may_have_effect;
-        if (way == passage::answered || way == passage::answer_lost)
+        own.sending = fate == delivery::refused ? order_sending::without_effect
+                                                : order_sending::may_have_effect;
+        if (fate == delivery::answered || fate == delivery::answer_lost)
         {
             bought_.emplace_back(own.id, now_ + delay);
         }
@@ -276,24 +276,25 @@
 {
     auto const least = *rc::gen::inRange<std::int64_t>(1, 4);
     purchases  world(least, *rc::gen::inRange<std::int64_t>(0, longest_lag + 1));
-    auto const story = *rc::gen::container<std::vector<std::tuple<int, std::int64_t>>>(
+    auto const steps = *rc::gen::container<std::vector<std::tuple<int, std::int64_t>>>(
         rc::gen::tuple(rc::gen::inRange(0, 8),
                        rc::gen::inRange<std::int64_t>(0, longest_delay + 1)));
-    for (auto const& [what, delay] : story)
+    for (auto const& [what, delay] : steps)
     {
         if (what == 7)
         {
-            world.succeed();
+            world.take_over();
         }
         else
         {
-            world.look(what < 4 ? static_cast<passage>(what) : passage::answered, delay);
+            world.poll(what < 4 ? static_cast<delivery>(what) : delivery::answered,
+                       delay);
         }
         RC_ASSERT(world.servers() <= least);
     }
     for (int round = 0; round < 300; ++round)
     {
-        world.look(passage::answered, 0);
+        world.poll(delivery::answered, 0);
     }
     RC_ASSERT(world.servers() == least);
 }
--- a/tests/property/read_model_property_test.cpp
+++ b/tests/property/read_model_property_test.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-struct made_engine
+struct simulated_engine
 {
     double speed = 50;    // tokens a ms
     double fixed_ms = 50; // besides
 
-    read_sample read(std::int64_t tokens, std::mt19937_64& random) const
+    prefill_sample read(std::int64_t tokens, std::mt19937_64& random) const
     {
         std::uniform_real_distribution<double> noise(0.9, 1.15);
         auto const ms = (fixed_ms + static_cast<double>(tokens) / speed) * noise(random);
@@ -28,7 +28,8 @@
     }
 };
 
-void teach(read_model& model, made_engine const& engine, int reads, std::uint64_t seed)
+void train(prefill_model& model, simulated_engine const& engine, int reads,
+           std::uint64_t seed)
 {
     std::mt19937_64                     random(seed);
     std::lognormal_distribution<double> tokens(7.8, 1.1);
@@ -38,7 +39,7 @@
     }
 }
 
-double expected(read_model const& model, double tokens)
+double expected(prefill_model const& model, double tokens)
 {
     return model.fixed_ms() + tokens / model.speed();
 }
@@ -46,14 +47,14 @@
 // 1. Made-up engines
 
 // A VM with some reads a second must know its engines within seconds, whatever they are.
-RC_GTEST_PROP(read_model, predicts_any_engine_after_some_seconds_of_reads, ())
+RC_GTEST_PROP(prefill_model, predicts_any_engine_after_some_seconds_of_reads, ())
 {
-    made_engine const engine{
+    simulated_engine const engine{
         .speed = *rc::gen::inRange(12, 300) * 1.0,
         .fixed_ms = *rc::gen::inRange(5, 200) * 1.0,
     };
-    read_model model;
-    teach(model, engine, 150, *rc::gen::arbitrary<std::uint64_t>());
+    prefill_model model;
+    train(model, engine, 150, *rc::gen::arbitrary<std::uint64_t>());
     for (double const tokens : {2000.0, 6000.0, 15000.0})
     {
         auto const truth = engine.fixed_ms + tokens / engine.speed;
@@ -65,43 +66,43 @@
 // 2. Bounds
 
 // Lost answers, clocks and queues give samples of any size.
-RC_GTEST_PROP(read_model, never_leaves_its_bounds, ())
+RC_GTEST_PROP(prefill_model, never_leaves_its_bounds, ())
 {
-    read_model               model;
-    read_model_options const bounds;
-    auto const               count = *rc::gen::inRange(0, 400);
+    prefill_model               model;
+    prefill_model_options const bounds;
+    auto const                  count = *rc::gen::inRange(0, 400);
     for (int read = 0; read < count; ++read)
     {
         auto const ms = *rc::gen::inRange(-1000, 10'000'000);
         model.read({.tokens = *rc::gen::inRange(-5, 2'000'000), .took = millis{ms}});
         model.handed_over(millis{ms});
     }
-    RC_ASSERT(model.speed() >= bounds.least_speed * 0.999);
-    RC_ASSERT(model.speed() <= bounds.most_speed * 1.001);
-    RC_ASSERT(model.fixed_ms() >= 1 && model.fixed_ms() <= bounds.most_fixed);
-    RC_ASSERT(model.handover_ms() >= 1 && model.handover_ms() <= bounds.most_handover);
+    RC_ASSERT(model.speed() >= bounds.min_speed * 0.999);
+    RC_ASSERT(model.speed() <= bounds.max_speed * 1.001);
+    RC_ASSERT(model.fixed_ms() >= 1 && model.fixed_ms() <= bounds.max_fixed_ms);
+    RC_ASSERT(model.handover_ms() >= 1 && model.handover_ms() <= bounds.max_handoff_ms);
 }
 
 // 3. Changes
 
-TEST(read_model, follows_engines_that_turn_slow_and_back)
+TEST(prefill_model, follows_engines_that_turn_slow_and_back)
 {
-    read_model        model;
-    made_engine const sound{.speed = 60, .fixed_ms = 90};
-    made_engine const slow{.speed = 20, .fixed_ms = 90};
-    teach(model, sound, 150, 1);
+    prefill_model          model;
+    simulated_engine const healthy{.speed = 60, .fixed_ms = 90};
+    simulated_engine const slow{.speed = 20, .fixed_ms = 90};
+    train(model, healthy, 150, 1);
     EXPECT_NEAR(model.speed(), 60, 20);
-    teach(model, slow, 150, 2);
+    train(model, slow, 150, 2);
     EXPECT_NEAR(model.speed(), 20, 8);
-    teach(model, sound, 150, 3);
+    train(model, healthy, 150, 3);
     EXPECT_NEAR(model.speed(), 60, 20);
 }
 
 // A queue that was known of says nothing about the engine.
-TEST(read_model, reads_that_were_expected_to_wait_dont_count)
+TEST(prefill_model, reads_that_were_expected_to_wait_dont_count)
 {
-    read_model model;
-    teach(model, {.speed = 55, .fixed_ms = 60}, 150, 1);
+    prefill_model model;
+    train(model, {.speed = 55, .fixed_ms = 60}, 150, 1);
     auto const before = model.speed();
     for (int read = 0; read < 500; ++read)
     {
--- a/tests/unit/prefix_directory_test.cpp
+++ b/tests/unit/prefix_directory_test.cpp
@@ -17,7 +17,7 @@
     return boot_clock::time_point{std::chrono::hours{1}} + millis{ms};
 }
 
-std::map<std::string, kept_tokens> only(std::string const& server, std::int64_t tokens)
+std::map<std::string, cached_tokens> only(std::string const& server, std::int64_t tokens)
 {
     return {{server, {tokens, tokens}}};
 }
@@ -52,29 +52,29 @@
     prompt const     call{{"a", 100}, {"b", 1000}, {"own", 10}};
     caches.sent("e", {{"a", 100}, {"own", 10}}, millis{0}, at(0));
     caches.sent("e", call, millis{300}, at(10));
-    EXPECT_EQ(caches.kept(call, at(100)).at("e"), (kept_tokens{1100, 100}));
+    EXPECT_EQ(caches.kept(call, at(100)).at("e"), (cached_tokens{1100, 100}));
     caches.sent("e", call, millis{300}, at(200)); // waits for the same read
-    EXPECT_EQ(caches.kept(call, at(310)).at("e"), (kept_tokens{1100, 1100}));
+    EXPECT_EQ(caches.kept(call, at(310)).at("e"), (cached_tokens{1100, 1100}));
 }
 
 // 2. News
 
 TEST(prefix_directory, other_vms_hear_of_a_part_once_and_again_after_a_while)
 {
-    prefix_directory teller;
-    prefix_directory hearer;
+    prefix_directory sender;
+    prefix_directory receiver;
     prompt const     call{{"a", 100}, {"own", 10}};
-    teller.sent("e", call, millis{0}, at(0));
-    teller.sent("e", call, millis{0}, at(10));
-    auto const news = teller.take_news()[news_source::own];
+    sender.sent("e", call, millis{0}, at(0));
+    sender.sent("e", call, millis{0}, at(10));
+    auto const news = sender.take_news()[news_source::own];
     ASSERT_EQ(news.size(), 1U);
     EXPECT_EQ(news.front().parts.size(), 1U);
-    hearer.hear(news.front(), news_source::centre, at(100));
-    EXPECT_EQ(hearer.kept(call, at(101)).at("e").ready, 0); // still being read
-    EXPECT_EQ(hearer.kept(call, at(600)), only("e", 100));
-    EXPECT_TRUE(teller.take_news().empty());
-    teller.sent("e", call, millis{0}, at(5000));
-    EXPECT_EQ(teller.take_news()[news_source::own].size(), 1U);
+    receiver.hear(news.front(), news_source::centre, at(100));
+    EXPECT_EQ(receiver.kept(call, at(101)).at("e").ready, 0); // still being read
+    EXPECT_EQ(receiver.kept(call, at(600)), only("e", 100));
+    EXPECT_TRUE(sender.take_news().empty());
+    sender.sent("e", call, millis{0}, at(5000));
+    EXPECT_EQ(sender.take_news()[news_source::own].size(), 1U);
 }
 
 // Two relays that pass on what they hear from each other tell it for ever: links and
@@ -84,11 +84,10 @@
     prefix_directory relay;
     relay.hear({"e", {1, 2}}, news_source::centre, at(0));
     relay.hear({"f", {3}}, news_source::others, at(0));
-    auto const prefix_news_told = relay.take_news();
-    EXPECT_EQ(prefix_news_told.at(news_source::centre),
+    auto const published = relay.take_news();
+    EXPECT_EQ(published.at(news_source::centre),
               (std::vector<prefix_news>{{"e", {1, 2}}}));
-    EXPECT_EQ(prefix_news_told.at(news_source::others),
-              (std::vector<prefix_news>{{"f", {3}}}));
+    EXPECT_EQ(published.at(news_source::others), (std::vector<prefix_news>{{"f", {3}}}));
     relay.hear({"e", {1, 2}}, news_source::others, at(150));
     EXPECT_TRUE(relay.take_news().empty());
 }
@@ -113,10 +112,10 @@
 {
     prefix_directory caches;
     prompt const     part{{"a", 100}, {"own", 10}};
-    auto const       life = prefix_directory_options{}.life;
+    auto const       max_age = prefix_directory_options{}.max_age;
     for (int round = 0; round < 3; ++round)
     {
-        auto const start = at(0) + life * 3 * round;
+        auto const start = at(0) + max_age * 3 * round;
         caches.sent("e", part, millis{0}, start);
         caches.sent("f", part, millis{0}, start);
         caches.forget("e");
@@ -124,7 +123,7 @@
         EXPECT_EQ(caches.kept(part, start), only("f", 100));
         caches.sent("e", part, millis{0}, start);
         EXPECT_EQ(caches.kept(part, start).size(), 2U);
-        caches.expire(start + life * 2);
+        caches.expire(start + max_age * 2);
         EXPECT_EQ(caches.size(), 0U);
         caches.forget("f");
     }
@@ -135,7 +134,7 @@
     prefix_directory caches;
     prompt const     call{{"a", 100}, {"own", 10}};
     caches.sent("e", call, millis{0}, at(0));
-    auto const later = at(0) + prefix_directory_options{}.life + millis{1};
+    auto const later = at(0) + prefix_directory_options{}.max_age + millis{1};
     EXPECT_TRUE(caches.kept(call, later).empty());
     EXPECT_EQ(caches.size(), 1U);
     caches.expire(later);
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -84,7 +84,7 @@
 {
     constexpr int vms = 300;
     auto const    alone = bounds_alone(small_quota, terms, 1.0 / vms);
-    auto const    start = bounds_of(small_quota, terms, 1).start;
+    auto const    start = shared_bounds(small_quota, terms, 1).start;
     EXPECT_LE(alone.capacity * vms, start / 2 * 1.001);
     quota_bucket bucket(alone, at_ms(0));
     EXPECT_TRUE(bucket.take(12'000, at_ms(60'000)));
@@ -92,7 +92,7 @@
 
 TEST(quota_bucket, full_window_stays_within_the_tolerance)
 {
-    auto const bounds = bounds_of(small_quota, terms, 1);
+    auto const bounds = shared_bounds(small_quota, terms, 1);
     auto const window_s = 8.0;
     auto const most = bounds.capacity + bounds.rate * window_s;
     auto const bound = static_cast<double>(small_quota.rate) * window_s +
@@ -149,9 +149,9 @@
     EXPECT_FALSE(share.settled(at_ms(150)));
     share.note(80, 90, at_ms(300));
     EXPECT_TRUE(share.settled(at_ms(300)));
-    fleet_share cut_off;
-    cut_off.note(1, 0, at_ms(0));
-    EXPECT_TRUE(cut_off.settled(at_ms(2000)));
+    fleet_share isolated;
+    isolated.note(1, 0, at_ms(0));
+    EXPECT_TRUE(isolated.settled(at_ms(2000)));
 }
 
 // 3. Homes
@@ -205,44 +205,44 @@
 
 TEST(quota_course, silent_home_is_asked_again_when_the_next_vm_knows_it_to_live)
 {
-    quota_course course{{"a", "b", "c"}};
-    EXPECT_EQ(course.address(), "a");
-    course.take(quota_reply::silent);
-    EXPECT_EQ(course.address(), "b");
-    course.take(quota_reply::declined, "a");
-    EXPECT_EQ(course.address(), "a");
-    course.take(quota_reply::decided);
-    EXPECT_TRUE(course.decided());
-    EXPECT_TRUE(course.address().empty());
+    quota_course queries{{"a", "b", "c"}};
+    EXPECT_EQ(queries.address(), "a");
+    queries.take(quota_reply::silent);
+    EXPECT_EQ(queries.address(), "b");
+    queries.take(quota_reply::declined, "a");
+    EXPECT_EQ(queries.address(), "a");
+    queries.take(quota_reply::decided);
+    EXPECT_TRUE(queries.decided());
+    EXPECT_TRUE(queries.address().empty());
 }
 
 TEST(quota_course, home_that_stops_is_named_to_the_next)
 {
-    quota_course course{{"a", "b"}};
-    course.take(quota_reply::declined);
-    EXPECT_EQ(course.address(), "b");
-    EXPECT_EQ(course.left(), "a");
+    quota_course queries{{"a", "b"}};
+    queries.take(quota_reply::declined);
+    EXPECT_EQ(queries.address(), "b");
+    EXPECT_EQ(queries.left(), "a");
 }
 
 // Questions that go round would hold a call until its caller's time is over.
 TEST(quota_course, ends_after_three_questions)
 {
-    quota_course course{{"a", "b", "c", "d"}};
+    quota_course queries{{"a", "b", "c", "d"}};
     int          questions = 0;
-    while (!course.address().empty())
+    while (!queries.address().empty())
     {
-        course.take(quota_reply::silent);
+        queries.take(quota_reply::silent);
         ++questions;
     }
     EXPECT_EQ(questions, 3);
-    EXPECT_FALSE(course.decided());
+    EXPECT_FALSE(queries.decided());
 }
 
 TEST(quota_course, nobody_to_ask_is_known_at_once)
 {
-    quota_course const course{{}};
-    EXPECT_TRUE(course.address().empty());
-    EXPECT_FALSE(course.decided());
+    quota_course const queries{{}};
+    EXPECT_TRUE(queries.address().empty());
+    EXPECT_FALSE(queries.decided());
 }
 
 // 5. Cost
--- a/tests/unit/relay_plan_test.cpp
+++ b/tests/unit/relay_plan_test.cpp
@@ -117,7 +117,7 @@
     }
 }
 
-void expect_no_circle(std::set<vm_contact> const& vms)
+void expect_no_cycle(std::set<vm_contact> const& vms)
 {
     std::map<std::string, std::vector<std::string>> asks; // by address
     for (auto const& own : vms)
@@ -127,15 +127,15 @@
     for (auto const& [asker, first] : asks)
     {
         std::set<std::string>    reached;
-        std::vector<std::string> open = first;
-        while (!open.empty())
+        std::vector<std::string> pending = first;
+        while (!pending.empty())
         {
-            auto const next = open.back();
-            open.pop_back();
+            auto const next = pending.back();
+            pending.pop_back();
             EXPECT_NE(next, asker);
             if (reached.insert(next).second)
             {
-                open.insert(open.end(), asks[next].begin(), asks[next].end());
+                pending.insert(pending.end(), asks[next].begin(), asks[next].end());
             }
         }
     }
@@ -145,9 +145,9 @@
 // each waits for the next.
 TEST(relay_plan, nobody_asks_a_vm_that_may_ask_it)
 {
-    expect_no_circle(fleet(5, 10, 2));
-    expect_no_circle(fleet(3, 3, 0));
-    expect_no_circle(fleet(1, 2, 0));
+    expect_no_cycle(fleet(5, 10, 2));
+    expect_no_cycle(fleet(3, 3, 0));
+    expect_no_cycle(fleet(1, 2, 0));
 }
 
 // The relay that reads the store is lost. Its members know whom to ask next, and the
