--- a/src/policy/fleet_plan.cpp
+++ b/src/policy/fleet_plan.cpp
@@ -1,4 +1,4 @@
-// Counting and ordering.
+// Target numbers of servers and the orders that lead to them.
 #include "policy/fleet_plan.hpp"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 namespace
 {
 
-// 8000  ms; longer than the time between two bursts of a swing, and than a server's start
+// 8000  ms; longer than the time between two bursts and than a server's start
 constexpr millis demand_window{8000};
 
-// 1.5   times the need: it is a mean over seconds, and bursts go above it
+// 1.5   times the need, which is a mean over seconds that bursts exceed
 constexpr double burst_factor = 1.5;
 
 std::int64_t ceil_divide(std::int64_t value, std::int64_t parts)
@@ -21,7 +21,7 @@
     return (value + parts - 1) / parts;
 }
 
-/// How many servers of each kind every data centre should have.
+/// Computes the target numbers of full-price and cheap servers of each data centre.
 class fleet_targets
 {
 public:
@@ -66,7 +66,8 @@
         return std::max<std::int64_t>(bounds_.most - full_.at(data_centre), 0);
     }
 
-    /// An even share of what is wanted, at most a part of the places.
+    /// The data centre's even share of the demand, limited to a part of its maximum. The
+    /// limit itself while the demand is unknown.
     std::int64_t floor_without_cheap() const
     {
         auto const centres = static_cast<std::int64_t>(state_.centres.size());
@@ -75,9 +76,9 @@
                                   : std::min(most, ceil_divide(state_.wanted, centres));
     }
 
-    /// Servers that will be left, without more of full price, once the cheap ones of
-    /// another data centre are taken back: that comes with less notice than a start
-    /// takes.
+    /// Servers left, without further full-price orders, after the platform reclaims the
+    /// cheap servers of the data centre that has the most of them. The notice of a
+    /// reclaim is shorter than a server's start, so replacements are ordered beforehand.
     std::int64_t left_after_reclaim() const
     {
         std::int64_t sum = 0;
@@ -92,7 +93,8 @@
         return sum - most_cheap;
     }
 
-    /// Shares what is missing among the data centres that sell no cheap servers.
+    /// Spreads the missing servers over the data centres without cheap servers, one at a
+    /// time.
     void buy_full()
     {
         auto missing = state_.wanted - left_after_reclaim();
@@ -115,7 +117,8 @@
         }
     }
 
-    /// Keeps those that are present as long as they are needed.
+    /// Raises the targets so that present full-price servers stay while the fleet needs
+    /// them.
     void keep_full()
     {
         auto spare = present_ - state_.wanted;
@@ -129,8 +132,9 @@
         }
     }
 
-    /// Shares what is wanted of cheap servers among the data centres that sell them, so
-    /// that it is still there without one of these.
+    /// Spreads the wanted cheap servers over the data centres that have them, such that
+    /// losing one of these data centres leaves enough. Targets the maximum until demand
+    /// is known.
     void plan_cheap()
     {
         cheap_ = bounds_.most;
@@ -157,7 +161,7 @@
     fleet_options const&                options_;
     std::int64_t                        floor_;
     std::int64_t                        present_ = 0;
-    std::int64_t                        cheap_ = 0; // in each data centre that has room
+    std::int64_t                        cheap_ = 0; // target of each data centre
     std::map<std::string, std::int64_t> full_;
 };
 
--- a/src/policy/fleet_plan.hpp
+++ b/src/policy/fleet_plan.hpp
@@ -1,12 +1,14 @@
-// How many servers of each kind are wanted in each data centre.
+// Plans how many full-price and cheap (reclaimable) servers a service orders per data
+// centre.
 //
-// Index: 1 fleet_count, 2 count_fleet, 3 fleet_options, 4 data_centre_state, 5
-// fleet_state, 6 servers_for, 7 plan_fleet
+// Index: 1 fleet_count, 2 count_fleet, 3 fleet_options, 4 data_centre_state,
+//        5 fleet_state, 6 servers_for, 7 plan_fleet
 //
-// Load answered: swings above what the bought servers carry. Cheap servers cost about a
-// fifth and can be taken back, a data centre at a time. So all that may be had are held,
-// above a floor at full price; more at full price is bought while too few are left for
-// what callers ask, and given back once the cheap ones run again.
+// Demand swings above what the full-price servers alone can carry. Cheap servers cost
+// about a fifth of the full price, but the platform can reclaim all of those in a data
+// centre at once. The plan therefore keeps a minimum of full-price servers in each data
+// centre and adds cheap servers. It orders more full-price servers while the remaining
+// cheap ones can't carry the demand, and gives them back once cheap servers run again.
 #ifndef MARIGOLDCRANK_POLICY_FLEET_PLAN_HPP
 #define MARIGOLDCRANK_POLICY_FLEET_PLAN_HPP
 
@@ -33,73 +35,77 @@
 
 using fleet_counts = std::map<std::string, fleet_count>; // by data centre
 
-/// Counts the servers of a service by data centre, those that leave left out.
+/// Counts the servers of a service by data centre, without those that are leaving.
 fleet_counts count_fleet(std::string const&                           service,
                          std::map<std::string, backend_server> const& servers);
 
 struct fleet_options
 {
-    // 16    of the most servers that a data centre may have, one in so many is kept at
-    //       full price: these are what is left when the cheap ones are taken back
+    // 16    divisor of a data centre's maximum: one server in 16 is always at full price.
+    //       These servers remain when the platform reclaims the cheap ones
     std::int64_t full_price_divisor = 16;
-    // 2     of the most servers that a data centre may have, at most one in so many is
-    // held
-    //       at full price while cheap ones are not available there
+    // 2     divisor of a data centre's maximum: while cheap servers are unavailable
+    // there,
+    //       its minimum at full price is its share of the demand, but at most one server
+    //       in 2
     std::int64_t full_price_divisor_without_cheap = 2;
-    // 10000 ms; cheap servers count as not to be had so long after a refusal
+    // 10000 ms; cheap servers count as unavailable for this long after a refused order
     millis cheap_backoff{10000};
-    // 2     places of a data centre that stay free for cheap servers, so that they are
-    //       asked for again and found available
+    // 2     servers; this part of a data centre's maximum stays free for cheap servers,
+    //       so that the plan orders them again and notices when they are available
     std::int64_t reserved_cheap_places = 2;
-    // 2     times what is wanted, held in cheap servers: they cost a sixth, and with many
-    //       of them queues are short
+    // 2     times the demand; servers to hold in total once the demand is known. Cheap
+    //       servers cost a sixth of the full price, and many of them keep queues short
     std::int64_t cheap_factor = 2;
-    // 8     steps in which the number of cheap servers changes, of the most that a data
-    //       centre may have: less would order and dismiss servers with every burst
+    // 8     steps from zero to a data centre's maximum, in which the number of cheap
+    //       servers changes: smaller steps would order and dismiss servers with each
+    //       burst
     std::int64_t steps = 8;
 
     bool operator==(fleet_options const&) const = default;
 };
 
-/// What is known of a service in one data centre.
+/// Servers and availability of cheap servers for a service in one data centre.
 struct data_centre_state
 {
     fleet_count            present;
-    boot_clock::time_point refused{}; // last refusal of cheap ones; epoch: never
+    boot_clock::time_point refused{}; // last refused order of cheap servers; epoch: none
 
     bool operator==(data_centre_state const&) const = default;
 };
 
-/// What is known of a service in all data centres.
+/// Servers of a service in all data centres and the demand on it.
 struct fleet_state
 {
     std::map<std::string, data_centre_state> centres;
-    std::int64_t                             wanted = 0; // servers for what callers ask
+    std::int64_t                             wanted = 0; // servers that carry the demand
     boot_clock::time_point                   wanted_updated_at{};
-    boot_clock::time_point known_since{}; // epoch: callers have asked nothing
+    boot_clock::time_point known_since{}; // first demand; epoch: no demand yet
 
     bool operator==(fleet_state const&) const = default;
 
-    /// Takes in the servers that there are now.
+    /// Replaces the numbers of present servers.
     void count(fleet_counts const& present);
 
-    /// Takes in how many servers callers' demand asks for now. The most of the last
-    /// seconds counts: a server that is given up between two bursts is missing in the
-    /// next.
+    /// Records how many servers the current demand needs. `wanted` rises at once and
+    /// falls only after several seconds without a higher value, because a server that is
+    /// dismissed between two bursts is missing in the second one.
     void want(std::int64_t servers, boot_clock::time_point now);
 
-    /// Whether demand has been known for long enough to give up servers by it.
+    /// True once demand has been observed for long enough to dismiss servers based on it.
     bool settled(boot_clock::time_point now) const;
 };
 
-/// Servers of both roles that carry a need.
+/// Servers of both roles that carry a need, with a reserve for bursts.
 std::int64_t servers_for(role_need const& need);
 
-/// Orders that are still open. Cheap servers for twice what is wanted and the loss of
-/// those of one data centre, above a floor at full price. What is missing of `wanted`
-/// while cheap ones are not to be had is bought at full price, in the data centres that
-/// don't sell cheap ones. A server of full price is given back only if enough others are
-/// present.
+/// The orders that bring the present servers to the target numbers. Each data centre
+/// keeps its minimum at full price. Cheap servers are ordered for twice the demand, such
+/// that the number is still met without one of the data centres that have them. If the
+/// servers left after the next reclaim don't carry the demand, full-price servers are
+/// bought in the data centres without cheap ones. A full-price server is given back only
+/// if enough other servers are present. Services without reclaimable servers get no
+/// orders.
 std::vector<server_order> plan_fleet(service const& value, fleet_state const& state,
                                      boot_clock::time_point now,
                                      fleet_options const&   options);
--- a/src/policy/limit_book.cpp
+++ b/src/policy/limit_book.cpp
@@ -1,4 +1,4 @@
-// Shares of limits, lent by time.
+// Shares of limits and the loans between entry VMs.
 #include "policy/limit_book.hpp"
 
 #include <algorithm>
--- a/src/policy/load_relay.hpp
+++ b/src/policy/load_relay.hpp
@@ -1,4 +1,5 @@
-// What one VM knows of the others' work, and what it passes on.
+// Collects the work of the other VMs from their digests and builds the digests to
+// publish.
 //
 // Index: 1 digest_scope, 2 load_digest, 3 load_relay
 #ifndef MARIGOLDCRANK_POLICY_LOAD_RELAY_HPP
@@ -14,15 +15,15 @@
 namespace marigoldcrank
 {
 
-/// Whose work a digest sums up.
+/// The VMs whose work a digest adds up.
 enum class digest_scope
 {
-    vm,     // the sender's own
-    centre, // of the VMs in the sender's data centre
-    fleet   // of all VMs
+    vm,     // the sender
+    centre, // the VMs in the sender's data centre
+    fleet   // all VMs
 };
 
-/// One digest, as sent and heard.
+/// One digest, as sent and received.
 struct load_digest
 {
     digest_scope scope = digest_scope::vm;
@@ -33,25 +34,27 @@
     bool operator==(load_digest const&) const = default;
 };
 
-/// Takes in digests and makes those to be sent. In a mesh every VM hears all others. With
-/// relays: a relay hears the VMs of its own data centre and the sums of the others'
-/// relays; a member hears the sum over all from its relays. Each VM's work is counted
-/// once, whoever is heard. Pure; time is passed in.
+/// Receives digests and builds those to publish. In a mesh every VM receives the digests
+/// of all others. With relays, a relay receives the digests of the VMs in its own data
+/// centre and the sums of the other data centres' relays; a member receives the sum over
+/// the fleet from its relays. The work of each VM is counted once, whichever digests
+/// arrive. No I/O; the caller passes the time.
 class load_relay
 {
 public:
+    /// Sets the plan that decides which digests count, and this VM's name and place.
     void follow(relay_plan const& plan, std::string vm, std::string data_centre)
     {
         if (plan.mesh != plan_.mesh || plan.relay != plan_.relay)
         {
-            peers_ = peer_loads{}; // sums and single VMs must not be added up
+            peers_ = peer_loads{}; // else sums and single VMs would be counted twice
         }
         plan_ = plan;
         vm_ = std::move(vm);
         centre_ = std::move(data_centre);
     }
 
-    /// Takes a digest heard now. False: it is not for a VM in this place.
+    /// Records a digest received now. False if a VM with this plan must not count it.
     bool absorb(load_digest digest, boot_clock::time_point now)
     {
         auto const key = key_of(digest);
@@ -61,7 +64,7 @@
         }
         if (digest.scope == digest_scope::fleet)
         {
-            // A sum over all VMs holds this VM's work as it was told about two digests
+            // A sum over all VMs contains this VM's work as published about two digests
             // ago.
             digest.work.subtract(previous_published_);
         }
@@ -69,7 +72,7 @@
         return true;
     }
 
-    /// Digests to be sent now; `own` is the work of this VM.
+    /// Digests to publish now; `own` is the work of this VM.
     std::vector<load_digest> digests(vm_work const& own, boot_clock::time_point now)
     {
         peers_.expire(now);
@@ -87,32 +90,32 @@
         return result;
     }
 
-    /// What callers ask of a service at all others, as far as heard lately.
+    /// Demand on a service at all other VMs, from recent digests.
     work_demand demand(std::string const& service, boot_clock::time_point now) const
     {
         return peers_.demand(service, now);
     }
 
-    /// The other VMs that were heard lately, be it through relays.
+    /// Number of other VMs in recent digests, directly or through relays.
     std::int64_t vms(boot_clock::time_point now) const
     {
         return peers_.vms(now);
     }
 
-    /// Work of all others at one server, as far as heard lately.
+    /// Work of all other VMs at one server, from recent digests.
     server_load at(std::string const& server, boot_clock::time_point now) const
     {
         return peers_.at(server, now);
     }
 
 private:
-    // Prefixes of the names under which digests are kept, by scope.
+    // Prefixes of the keys under which digests are stored, by scope.
     static constexpr char vm_key = 'v';
     static constexpr char centre_key = 'c';
     static constexpr char fleet_key = 'f';
 
-    /// The name under which a digest replaces an earlier one; empty: not to be counted.
-    /// Two relays of a data centre tell of the same work, so they share a name.
+    /// The key under which a digest replaces an earlier one; empty: it doesn't count.
+    /// Two relays of a data centre publish the same work, so they share a key.
     std::string key_of(load_digest const& digest) const
     {
         bool const same_centre = digest.data_centre == centre_;
--- a/src/policy/mass_loss.hpp
+++ b/src/policy/mass_loss.hpp
@@ -1,5 +1,5 @@
-// Tells the loss of several servers at once, as when a zone is reclaimed, from the crash
-// of one server by a request.
+// Distinguishes the loss of several servers at once, as when a zone is reclaimed, from
+// server crashes that a request causes.
 //
 // Index: mass_loss
 #ifndef MARIGOLDCRANK_POLICY_MASS_LOSS_HPP
@@ -15,16 +15,17 @@
 namespace marigoldcrank
 {
 
-/// A request crashes one server after the other; a platform that reclaims a zone takes
-/// several in the same moment. What was in flight on just one of several servers that
-/// were lost together did not crash the others. Value type.
+/// A request that crashes servers does so one after the other; a platform that reclaims a
+/// zone removes several at the same moment. If several servers are lost within a window,
+/// a content that was in flight on only one of them did not crash the others, so it is no
+/// longer suspected. Value type.
 class mass_loss
 {
 public:
     explicit mass_loss(millis window) : window_(window) {}
 
-    /// Notes a content in flight on a lost server. The contents that the loss excuses:
-    /// none while this is the only server lost within the window.
+    /// Records a content that was in flight on a lost server. Returns the contents that
+    /// are no longer suspected: none while only one server was lost within the window.
     std::vector<std::string> note(std::string const& server, std::string const& content,
                                   boot_clock::time_point now)
     {
@@ -40,7 +41,7 @@
 private:
     struct lost_server
     {
-        std::set<std::string>  contents; // in flight when it was lost
+        std::set<std::string>  contents; // in flight when the server was lost
         boot_clock::time_point at{};
 
         bool operator==(lost_server const&) const = default;
--- a/src/policy/order_settlement.cpp
+++ b/src/policy/order_settlement.cpp
@@ -1,4 +1,4 @@
-// What becomes of an open order.
+// Rules that settle role changes, purchases and dismissals.
 #include "policy/order_settlement.hpp"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 namespace
 {
-/// Nobody waits for ever: an engine that never comes back, or a purchase that was never
-/// made, would keep its target closed to every other order.
+/// Waits at most for the limit. An engine that never comes back, or a purchase that never
+/// took effect, would otherwise block its target for every other order.
 order_step wait_or_abandon(order_progress const& progress)
 {
     return progress.age > progress.settle_limit ? order_step::close_abandoned
@@ -30,10 +30,10 @@
     {
         return order_step::close_abandoned;
     }
-    // A purchase is not idempotent: it is sent once, by the process that intended it. If
-    // its answer is lost, or its sender, only the list can tell whether it took effect,
-    // and the list lags: until it shows the order, or can no longer, nothing is bought
-    // in its place.
+    // A purchase is not idempotent, so it is sent once, by the process that recorded the
+    // intent. If the response or the sender is lost, only the platform's list shows
+    // whether it took effect, and the list lags. Nothing is bought in its place until the
+    // list shows the order or the limit has passed.
     bool const unsent =
         !progress.inherited && progress.sending == order_sending::not_sent;
     return unsent ? order_step::send : wait_or_abandon(progress);
@@ -54,9 +54,10 @@
     {
         return order_step::close_abandoned;
     }
-    // A dismissal names its VM, so a successor may send it too: giving it up while the
-    // list lags would pick a second VM to dismiss. Past the limit it is never sent: its
-    // outcome may be on the way to the log.
+    // A dismissal names its VM, so the next holder of the duty may send it too. If that
+    // holder abandoned it while the list lags, it would choose a second VM to dismiss.
+    // Past the limit it is never sent, because its outcome may already be on the way to
+    // the log.
     bool const may_send = idle && progress.sending != order_sending::may_have_effect &&
                           progress.age <= progress.settle_limit;
     return may_send ? order_step::send : wait_or_abandon(progress);
@@ -78,15 +79,15 @@
     {
         return order_step::close_done;
     }
-    // The earlier holder can't send any more, and the engine shows that it obeyed no
-    // order: this one is over, and the plan of today decides what comes next.
+    // The earlier holder can't send any more, and the engine's role shows that no order
+    // took effect. This order is closed, and the current plan decides the next one.
     if (progress.inherited || progress.sending == order_sending::without_effect ||
         progress.age > progress.settle_limit)
     {
         return order_step::close_abandoned;
     }
-    // An engine that crashed in the middle comes back in its old role. The order names a
-    // state, so it is sent again under the same id.
+    // An engine that crashed during the change restarts in its old role. The order names
+    // the wanted state, so it is sent again under the same id.
     return observed.idle ? order_step::send : order_step::wait;
 }
 
--- a/src/policy/order_settlement.hpp
+++ b/src/policy/order_settlement.hpp
@@ -1,4 +1,4 @@
-// What becomes of an open order, judged by the truth: pure functions.
+// Decides the next step of an open order from the observed state of servers and engines.
 //
 // Index: 1 order_sending, 2 order_progress, 3 engine orders, 4 VM orders
 #ifndef MARIGOLDCRANK_POLICY_ORDER_SETTLEMENT_HPP
@@ -12,26 +12,26 @@
 namespace marigoldcrank
 {
 
-/// What this process knows of its own sending of an order.
+/// What this process knows about its own attempt to send an order.
 enum class order_sending
 {
     not_sent,
-    without_effect, // refused, or nothing left this process
-    may_have_effect // answered, or the answer was lost
+    without_effect, // refused, or no byte was sent
+    may_have_effect // accepted, or the response was lost
 };
 
-/// An open order as its duty's holder sees it.
+/// Progress of an open order, as the holder of its duty knows it.
 struct order_progress
 {
     bool          inherited = false; // intended under an earlier epoch
     order_sending sending = order_sending::not_sent;
-    millis        age{0};              // since this holder first saw it
-    millis        settle_limit{60000}; // 60000  beyond the lag of every truth
+    millis        age{0};              // 0      ms since this holder first saw it
+    millis        settle_limit{60000}; // 60000  ms; longer than any observation lags
 
     bool operator==(order_progress const&) const = default;
 };
 
-/// What to do with an open order now.
+/// The next step of an open order.
 enum class order_step
 {
     wait,
@@ -40,21 +40,23 @@
     close_abandoned
 };
 
-/// Truth about an engine under a change of role.
+/// Observed state of an engine that has an open order for a change of role.
 struct engine_truth
 {
     bool                        listed = true; // in the platform's list
-    std::optional<engine_state> state;         // none: it does not answer
-    bool                        idle = false;  // drained since the intent was known
+    std::optional<engine_state> state;         // none: it does not respond
+    bool                        idle = false; // drained since the order's intent was read
 
     bool operator==(engine_truth const&) const = default;
 };
 
+/// The next step of an order that changes an engine's role.
 order_step settle_role(order const& wanted, order_progress const& progress,
                        engine_truth const& observed);
 
-/// `listed` is the platform's list, which lags, or none if it could not be read. `idle`
-/// is for a dismissal, as above.
+/// The next step of a purchase or dismissal. `listed` is the platform's list, which lags,
+/// or none if it could not be read. `idle` is for a dismissal: the server has been
+/// drained since the order's intent was read.
 order_step settle_vm(order const& wanted, std::string const& order_id,
                      order_progress const&                             progress,
                      std::optional<std::vector<backend_server>> const& listed, bool idle);
--- a/src/policy/peer_loads.hpp
+++ b/src/policy/peer_loads.hpp
@@ -1,4 +1,4 @@
-// What the other entry VMs have in work at each server, from their digests.
+// Adds up the work of the other entry VMs at each server, from their digests.
 //
 // Index: 1 server_load, 2 vm_work, 3 peer_loads_options, 4 peer_loads
 #ifndef MARIGOLDCRANK_POLICY_PEER_LOADS_HPP
@@ -15,12 +15,13 @@
 namespace marigoldcrank
 {
 
-/// Calls in work at one server. Engines read prompts in the order of their arrival,
-/// whatever their rank, so what is unread counts for all who come later.
+/// Calls in progress at one server. Engines prefill prompts in the order of arrival,
+/// whatever their priority, so the prompt tokens still to be prefilled delay every later
+/// call.
 struct server_load
 {
     std::int64_t running = 0;
-    std::int64_t unread = 0; // tokens of prompts that are not read yet
+    std::int64_t unread = 0; // prompt tokens still to be prefilled
 
     auto operator<=>(server_load const&) const = default;
 
@@ -30,7 +31,8 @@
         unread += other.unread;
     }
 
-    /// Takes off a part of this sum that may be a little newer than the sum.
+    /// Subtracts a part of this sum. The part may be slightly newer than the sum, so the
+    /// result is limited to zero.
     void subtract(server_load const& part)
     {
         running = std::max<std::int64_t>(running - part.running, 0);
@@ -41,12 +43,12 @@
 using server_loads = std::map<std::string, server_load>;
 using service_demands = std::map<std::string, work_demand>;
 
-/// What one or more VMs have in work at servers, and are asked for by callers.
+/// Work of one or more VMs at servers, and the demand of their callers.
 struct vm_work
 {
     server_loads    loads;   // by server
     service_demands demands; // by service
-    std::int64_t    vms = 0; // 0  whose work this is
+    std::int64_t    vms = 0; // 0  number of VMs whose work this is
 
     bool operator==(vm_work const&) const = default;
 
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Takes off a part of this sum that may be a little newer than the sum.
+    /// Subtracts a part of this sum. The part may be slightly newer than the sum, so the
+    /// result is limited to zero.
     void subtract(vm_work const& part)
     {
         vms = std::max<std::int64_t>(vms - part.vms, 0);
@@ -88,25 +91,24 @@
 
 struct peer_loads_options
 {
-    millis max_age{
-        1000}; // 1000  ms; a peer that has been silent for longer is not counted
+    millis max_age{1000}; // 1000  ms; a peer without a digest for longer doesn't count
 
     bool operator==(peer_loads_options const&) const = default;
 };
 
-/// Pure; time is passed in.
+/// The newest digest of each sender. No I/O; the caller passes the time.
 class peer_loads
 {
 public:
     explicit peer_loads(peer_loads_options options = {}) : options_(options) {}
 
-    /// Takes a VM's newest digest.
+    /// Records a sender's newest digest, received now.
     void absorb(std::string const& vm, vm_work work, boot_clock::time_point now)
     {
         peers_[vm] = {now, std::move(work)};
     }
 
-    /// Work of all VMs heard of lately at one server.
+    /// Work at one server, added up over recent digests.
     server_load at(std::string const& server, boot_clock::time_point now) const
     {
         server_load sum;
@@ -122,7 +124,7 @@
         return sum;
     }
 
-    /// What callers ask of a service at all VMs heard of lately.
+    /// Demand on a service, added up over recent digests.
     work_demand demand(std::string const& service, boot_clock::time_point now) const
     {
         work_demand sum;
@@ -138,7 +140,7 @@
         return sum;
     }
 
-    /// VMs behind the digests heard of lately.
+    /// Number of VMs whose work the recent digests contain.
     std::int64_t vms(boot_clock::time_point now) const
     {
         std::int64_t sum = 0;
@@ -149,7 +151,7 @@
         return sum;
     }
 
-    /// Work of the peers whose names begin with `first`.
+    /// Work of the senders whose key begins with `key_prefix`, from recent digests.
     vm_work sum(char key_prefix, boot_clock::time_point now) const
     {
         vm_work result;
@@ -163,7 +165,7 @@
         return result;
     }
 
-    /// Forgets VMs that have been silent for long.
+    /// Drops digests that are too old to count.
     void expire(boot_clock::time_point now)
     {
         std::erase_if(peers_, [&](auto const& entry)
