--- a/src/policy/prefix_directory.cpp
+++ b/src/policy/prefix_directory.cpp
@@ -1,4 +1,4 @@
-// Engines by part, and what is to be told of them.
+// Engines by prompt part, and the updates to publish.
 #include "policy/prefix_directory.hpp"
 
 #include <xxhash.h>
--- a/src/policy/prefix_directory.hpp
+++ b/src/policy/prefix_directory.hpp
@@ -1,14 +1,14 @@
-// Which engines keep which parts of prompts in their KV cache.
+// Directory of the prompt parts that engines hold in their KV caches.
 //
 // Index: 1 prefix_news, 2 prefix_news_by_source, 3 cached_tokens, 4
 // prefix_directory_options,
 //        5 prefix_directory
 //
-// Load answered: prompts that share parts of thousands of tokens. Reading such a part
-// takes an engine a quarter of a second, finding it in the cache takes nothing. An engine
-// keeps a part until its memory is used for newer ones, so a part may lie on several
-// engines, and on others than a hash would name once engines come, go or change their
-// role.
+// Prompts share parts of thousands of tokens. The prefill of such a part takes an engine
+// a quarter of a second; a cache hit takes almost no time. An engine caches a part until
+// it needs the memory for newer ones, so several engines may hold a part. A directory is
+// used because a hash of the part would name other engines once engines start, stop or
+// change their role.
 #ifndef MARIGOLDCRANK_POLICY_PREFIX_DIRECTORY_HPP
 #define MARIGOLDCRANK_POLICY_PREFIX_DIRECTORY_HPP
 
@@ -27,7 +27,8 @@
 namespace marigoldcrank
 {
 
-/// Parts that an engine has begun to read or has found in its cache. VMs tell each other.
+/// Parts whose prefill an engine has begun or which it has found in its cache. VMs
+/// publish these to each other.
 struct prefix_news
 {
     std::string                server;
@@ -36,13 +37,13 @@
     bool operator==(prefix_news const&) const = default;
 };
 
-/// News by whose sends they tell of.
+/// Updates by whose attempts they are about.
 using prefix_news_by_source = std::map<news_source, std::vector<prefix_news>>;
 
-/// Tokens of one prompt at one engine.
+/// Tokens of one prompt in one engine's cache.
 struct cached_tokens
 {
-    std::int64_t all = 0;   // cached, or being read
+    std::int64_t all = 0;   // cached, or in prefill
     std::int64_t ready = 0; // cached
 
     bool operator==(cached_tokens const&) const = default;
@@ -50,45 +51,48 @@
 
 struct prefix_directory_options
 {
-    // 20000 ms; a part that no VM has heard of for so long counts as evicted
+    // 20000 ms; a part that no VM has used for longer counts as evicted
     millis max_age{20000};
-    // 3000  ms; a use of a part is told to other VMs again after so long
+    // 3000  ms; a further use of a part is published again after this time
     millis republish_interval{3000};
-    // 400   ms; a part that another VM tells of first counts as being read for so long
+    // 400   ms; assumed prefill time of a part that another VM published first
     millis prefill_time{400};
-    // 64    parts of one engine told in one digest; a VM sends no more in that time
+    // 64    parts of one engine in one digest; a VM sends no more between two digests
     std::size_t max_parts_per_digest = 64;
 
     bool operator==(prefix_directory_options const&) const = default;
 };
 
-/// Pure; time is passed in.
+/// Engines by part, and the updates still to be published. No I/O; the caller passes the
+/// time.
 class prefix_directory
 {
 public:
     explicit prefix_directory(prefix_directory_options options = {});
 
-    /// A call of this prompt was sent to `server`, which keeps its shared parts from then
-    /// on and has read them after `reading`. The last part is the caller's own and isn't
-    /// kept track of.
+    /// Records that a call with this prompt was sent to `server`, whose cache holds the
+    /// shared parts from then on and has them ready after `prefill_time`. The last part
+    /// belongs to the caller alone and is not recorded.
     void sent(std::string const& server, std::vector<prompt_part> const& prompt,
               millis prefill_time, boot_clock::time_point now);
 
-    /// Another VM tells of sends: its own and, if it is a relay, those it heard of.
+    /// Receives an update from another VM about its own attempts or, if it is a relay,
+    /// about those that it received.
     void hear(prefix_news const& update, news_source source, boot_clock::time_point now);
 
-    /// The engine keeps nothing any more: it has started anew, or changed its role.
+    /// Drops all parts of an engine whose cache is empty after a restart or a change of
+    /// role.
     void forget(std::string const& server);
 
-    /// Tokens of the prompt's shared parts that each engine keeps. A part counts only if
-    /// the engine keeps all parts before it. Engines that keep none are left out.
+    /// Cached tokens of the prompt's shared parts by engine. A part counts only if the
+    /// engine has cached all parts before it. Engines without any are left out.
     std::map<std::string, cached_tokens> kept(std::vector<prompt_part> const& prompt,
                                               boot_clock::time_point          now) const;
 
-    /// What has become known since the last time. Only a relay passes on what it heard.
+    /// Takes the updates since the last call. Only a relay passes on what it received.
     prefix_news_by_source take_news();
 
-    /// Drops what is too old.
+    /// Drops parts that have not been used for too long.
     void expire(boot_clock::time_point now);
 
     std::size_t size() const noexcept
@@ -101,18 +105,18 @@
     {
         boot_clock::time_point last_used{};
         boot_clock::time_point published_at{};
-        boot_clock::time_point ready{}; // has been read by then
+        boot_clock::time_point ready{}; // end of the prefill
     };
 
     using holders = std::map<std::string, use>;
     using part_set = std::unordered_set<std::uint64_t>;
     using pending_parts = std::map<std::string, std::vector<std::uint64_t>>;
 
-    /// Notes a use; true if others should be told of it.
+    /// Records a use; true if it is to be published.
     bool note_use(std::uint64_t part, std::string const& server, millis prefill_time,
                   boot_clock::time_point now);
 
-    /// The engine no longer keeps the part.
+    /// Removes a part from the set of an engine that no longer holds it.
     void remove_part(std::string const& server, std::uint64_t part);
 
     bool alive(use const& value, boot_clock::time_point now) const
@@ -124,13 +128,13 @@
 
     prefix_directory_options                   options_;
     std::unordered_map<std::uint64_t, holders> parts_;
-    // The parts of each engine. Without it each engine that leaves costs a look at every
-    // part, and a fleet loses a hundred engines at once.
+    // The parts of each engine. Without this index, removing an engine would search every
+    // part, and a fleet can lose a hundred engines at once.
     std::unordered_map<std::string, part_set> parts_by_server_;
     std::map<news_source, pending_parts>      unpublished_;
 };
 
-/// The name by which VMs tell of a part.
+/// Hash under which VMs publish a part.
 std::uint64_t part_hash(std::string_view id);
 
 } // namespace marigoldcrank
--- a/src/policy/prefix_index.hpp
+++ b/src/policy/prefix_index.hpp
@@ -1,10 +1,11 @@
-// Approximate index of which engine holds which prompt prefix.
+// Approximate index of the engines that hold each prompt prefix in their cache.
 //
 // Index: 1 cache_event, 2 prefix_index
 //
-// Own dispatches enter at once; engines' cache events come late and with gaps and correct
-// them. A gap may have hidden an eviction, so after it an engine's entries count half
-// until a dispatch or event confirms them; entries not confirmed for long are forgotten.
+// The index records this VM's own dispatches at once. Cache events of the engines arrive
+// late and with gaps, and correct the entries. A gap may hide an eviction, so after a gap
+// an engine's entries count half until a dispatch or an event confirms them. Entries
+// without confirmation for a long time are dropped.
 #ifndef MARIGOLDCRANK_POLICY_PREFIX_INDEX_HPP
 #define MARIGOLDCRANK_POLICY_PREFIX_INDEX_HPP
 
@@ -18,7 +19,7 @@
 namespace marigoldcrank
 {
 
-/// One event of an engine's prefix cache. Sequences count up by one on each engine.
+/// One event of an engine's prefix cache. Sequence numbers increase by one per engine.
 struct cache_event
 {
     std::uint32_t engine = 0;
@@ -30,23 +31,24 @@
     bool operator==(cache_event const&) const = default;
 };
 
-/// A fold of dispatches and events; not safe to use from several threads.
+/// Prefix holders, updated by dispatches and events. Not thread-safe.
 class prefix_index
 {
 public:
-    /// Entries that nothing confirmed for `forget_after` are dropped.
+    /// Entries without confirmation for `forget_after` are dropped.
     explicit prefix_index(millis forget_after);
 
-    /// The engine will hold the prefix once it has computed it.
+    /// Records a dispatch: the engine will hold the prefix once it has computed it.
     void dispatched(std::uint64_t prefix, std::uint32_t engine, std::int64_t tokens,
                     boot_clock::time_point now);
 
+    /// Applies a cache event.
     void take(cache_event const& event, boot_clock::time_point now);
 
-    /// A restarted engine holds nothing.
+    /// Drops the entries of an engine that has restarted with an empty cache.
     void forget_engine(std::uint32_t engine);
 
-    /// Expected hits of a prefix; replaces the content of `hits`.
+    /// Writes the expected hits of a prefix to `hits`, replacing its content.
     void find(std::uint64_t prefix, boot_clock::time_point now,
               std::vector<prefix_hit>& hits);
 
@@ -55,14 +57,14 @@
     {
         std::uint32_t          engine;
         std::int64_t           tokens;
-        std::uint64_t          epoch; // of the engine when this was confirmed
+        std::uint64_t          epoch; // the engine's epoch at the last confirmation
         boot_clock::time_point confirmed;
     };
     struct engine_state
     {
         std::uint64_t next_sequence = 0; // 0: no event seen yet
-        std::uint64_t epoch = 0;         // counts gaps
-        std::uint64_t valid_since = 0;   // entries of an earlier epoch are void
+        std::uint64_t epoch = 0;         // counts gaps and restarts
+        std::uint64_t valid_since = 0;   // entries of an earlier epoch are invalid
     };
 
     engine_state& state_of(std::uint32_t engine);
--- a/src/policy/quota_bucket.hpp
+++ b/src/policy/quota_bucket.hpp
@@ -1,9 +1,10 @@
-// A workspace's quota as one bucket for all VMs.
+// Token bucket that enforces a workspace's quota for all VMs.
 //
 // Index: 1 quota_terms, 2 quota_bounds, 3 quota_bucket
 //
-// Load answered: a workspace sends many times its usual within a second. What is above
-// its quota is turned away before it costs a place, and told when there will be room.
+// A workspace may send many times its usual load within a second. Calls above its quota
+// are refused before they occupy a slot, with the time after which to retry. Units are
+// tokens or calls, as the quota says.
 #ifndef MARIGOLDCRANK_POLICY_QUOTA_BUCKET_HPP
 #define MARIGOLDCRANK_POLICY_QUOTA_BUCKET_HPP
 
@@ -18,16 +19,16 @@
 namespace marigoldcrank
 {
 
-/// What the operators tolerate beyond a quota in any window, over all VMs.
+/// What operators tolerate above a quota in any window, over all VMs.
 struct quota_terms
 {
     millis       window{0};    // 0  ms; length of the window; 0: nothing is tolerated
     std::int64_t permille = 0; // 0  thousandths of what the quota allows in a window
-    std::int64_t slack = 0;    // 0  units besides
+    std::int64_t slack = 0;    // 0  units added to that
 
     auto operator<=>(quota_terms const&) const = default;
 
-    /// Units that may run beyond `quota` in one window.
+    /// Units that may run above `quota` in one window.
     std::int64_t tolerance(workspace_quota const& quota) const
     {
         constexpr double second_ms = 1000;
@@ -41,21 +42,22 @@
     }
 };
 
-/// How one bucket fills.
+/// Refill rate and limits of one bucket.
 struct quota_bounds
 {
-    double rate = 0;       // units a second
-    double capacity = 0;   // units saved up at most
-    double start = 0;      // units in a bucket of which nothing is known
-    bool   strict = false; // a call that is larger than the capacity never runs
+    double rate = 0;       // units per second
+    double capacity = 0;   // most units in the bucket
+    double start = 0;      // units in a bucket whose earlier use is unknown
+    bool   strict = false; // a call larger than the capacity never runs
 
     bool operator==(quota_bounds const&) const = default;
 };
 
-/// Half of the tolerance is used while one VM keeps the bucket, so that calls within the
-/// quota aren't refused for a difference of clocks or order: half of that as rate, half
-/// as capacity. The rest is for changes of the VM that keeps it: an unknown bucket starts
-/// with a part. `share` is the part of the fleet that this bucket serves.
+/// Bounds of the bucket that a workspace's owner VM keeps for all VMs. They add half of
+/// the tolerance to the quota, a quarter as rate and a quarter as capacity, so that calls
+/// within the quota aren't refused because of clock differences or reordering. The other
+/// half covers changes of the owner: a new owner's bucket, whose earlier use is unknown,
+/// starts with a part of it. `share` is the part of the fleet that this bucket serves.
 inline quota_bounds shared_bounds(workspace_quota const& quota, quota_terms const& terms,
                                   double share)
 {
@@ -73,11 +75,11 @@
             .start = std::min(capacity, tolerance * at_start * share)};
 }
 
-/// The bucket of one VM that can ask nobody. `share` is its even part of the fleet: all
-/// VMs' buckets together hold no more than half of what a bucket of which nothing is
-/// known starts with, so hundreds of VMs without a home don't run a large call each. They
-/// fill at half of their part: until both sides of a cut know of it, one still gives out
-/// the whole.
+/// Bounds of the bucket of an isolated VM, which can query no other. `share` is its even
+/// part of the fleet. The buckets of all isolated VMs together hold at most half of what
+/// an owner's bucket starts with, so that hundreds of VMs without an owner don't each run
+/// a large call. They refill at half of their part, because one side of a network
+/// partition grants the whole until both sides have noticed it.
 inline quota_bounds bounds_alone(workspace_quota const& quota, quota_terms const& terms,
                                  double share)
 {
@@ -90,9 +92,9 @@
     return bounds;
 }
 
-/// In any time t, no more than capacity + rate x t is taken from it; unless strict, a
-/// call that is larger than the capacity runs from a full bucket, whose debt is paid back
-/// before the next one. Pure; time is passed in.
+/// Grants at most capacity + rate * t units within any time t. Unless the bounds are
+/// strict, a call larger than the capacity runs from a full bucket and leaves a debt,
+/// which is paid back before the next call runs. No I/O; the caller passes the time.
 class quota_bucket
 {
 public:
@@ -101,7 +103,7 @@
     {
     }
 
-    /// Takes over other bounds; what is saved up stays within them.
+    /// Sets other bounds and limits the level to the new capacity.
     void limit(quota_bounds const& bounds, boot_clock::time_point now)
     {
         fill(now);
@@ -109,8 +111,8 @@
         level_ = std::min(level_, bounds_.capacity);
     }
 
-    /// Nothing if `units` were taken; else when there will be room for them, behind those
-    /// who were told a time before.
+    /// Takes `units` and returns nothing, or returns the time after which they will be
+    /// available. That time counts from behind the callers refused before.
     std::optional<millis> take(std::int64_t units, boot_clock::time_point now)
     {
         fill(now);
@@ -126,14 +128,14 @@
         return wait;
     }
 
-    /// Units that are known only after the call was let in.
+    /// Takes units that become known only after the call was admitted.
     void charge(std::int64_t units, boot_clock::time_point now)
     {
         fill(now);
         level_ -= static_cast<double>(units);
     }
 
-    /// What was taken has not run.
+    /// Returns units of a call that did not run.
     void give_back(std::int64_t units, boot_clock::time_point now)
     {
         fill(now);
@@ -146,9 +148,8 @@
     }
 
 private:
-    // 50 and 60000  ms; callers neither come back at once nor are told a time that can't
-    // be
-    //               known
+    // 50 and 60000  ms; a shorter wait would bring callers back at once, and a longer one
+    //               can't be predicted
     static constexpr double min_wait = 50;
     static constexpr double max_wait = 60'000;
     static constexpr double second_ms = 1000;
@@ -174,7 +175,7 @@
 
     quota_bounds bounds_;
     double       level_ = 0;
-    double       promised_units_ = 0; // units of callers who were told when to return
+    double       promised_units_ = 0; // units of refused callers with a time to retry
     boot_clock::time_point filled_;
 };
 
--- a/src/policy/quota_course.hpp
+++ b/src/policy/quota_course.hpp
@@ -1,4 +1,4 @@
-// Whom a VM asks for units of a quota, one after the other.
+// Sequence of VMs that one call queries for units of a quota.
 //
 // Index: 1 quota_reply, 2 quota_course
 #ifndef MARIGOLDCRANK_POLICY_QUOTA_COURSE_HPP
@@ -13,25 +13,28 @@
 namespace marigoldcrank
 {
 
+/// Result of one query.
 enum class quota_reply
 {
-    decided, // granted, or over the quota
-    declined,
-    silent
+    decided,  // granted, or over the quota
+    declined, // another VM owns the quota, or the queried VM stops
+    silent    // no reply in time
 };
 
-/// The questions of one call. Failure guarded against: a lost packet makes two VMs keep
-/// one quota, so a silent home is asked once more if the next VM knows it to live.
+/// The queries of one call, in order. A lost packet must not make two VMs own the same
+/// quota, so an owner that didn't reply is queried once more if the next VM reports that
+/// it is alive.
 class quota_course
 {
 public:
-    /// `order`: addresses of VMs that are heard and may keep the quota, the home first.
+    /// `candidates`: addresses of the reachable VMs that may own the quota, the owner
+    /// first.
     explicit quota_course(std::vector<std::string> candidates)
         : candidates_(std::move(candidates)), current_address_(first_unqueried())
     {
     }
 
-    /// Whom to ask now; empty: nobody is left, or the question is decided.
+    /// The VM to query now; empty: no VM is left, or the call is decided.
     std::string const& address() const noexcept
     {
         return current_address_;
@@ -42,13 +45,14 @@
         return decided_;
     }
 
-    /// A VM that has said that it stops; empty: none.
+    /// A VM that replied that it stops; empty: none.
     std::string const& left() const noexcept
     {
         return left_;
     }
 
-    /// `named`: the home that a declining VM knows; empty: it stops.
+    /// Records the result of the current query and chooses the next VM. `known_owner` is
+    /// the owner that a declining VM names; empty: the declining VM stops.
     void take(quota_reply reply, std::string const& known_owner = {})
     {
         auto const queried = std::exchange(current_address_, {});
@@ -69,7 +73,7 @@
     }
 
 private:
-    // 3  questions for one call: to the home, to the next VM, to the home again
+    // 3  queries for one call: to the owner, to the next VM, to the owner again
     static constexpr std::size_t max_queries = 3;
 
     std::ptrdiff_t times_queried(std::string const& address) const
--- a/src/policy/quota_home.cpp
+++ b/src/policy/quota_home.cpp
@@ -1,4 +1,4 @@
-// Keeping buckets for all VMs.
+// Order of owners and replies to quota queries.
 #include "policy/quota_home.hpp"
 
 #include <xxhash.h>
--- a/src/policy/quota_home.hpp
+++ b/src/policy/quota_home.hpp
@@ -1,11 +1,12 @@
-// Where a workspace's quota is kept, and what the VM that keeps it answers.
+// Chooses the VM that owns a workspace's quota, and computes the owner's replies.
 //
 // Index: 1 order_homes, 2 quota_ask, quota_answer, 3 quota_home
 //
-// Load answered: a workspace's calls land unevenly on hundreds of VMs, and one prompt may
-// be larger than a VM's even share of the quota. One VM, the workspace's home, keeps the
-// whole bucket and the others ask it before a call runs. Whoever hears none of those
-// before it in the workspace's order is the home: each side of a cut has one.
+// A workspace's calls arrive unevenly at hundreds of VMs, and one prompt may be larger
+// than a VM's even share of the quota. So one VM, the workspace's owner, keeps the whole
+// bucket, and the others query it before a call runs. A VM is the owner if it hears none
+// of the VMs before it in the workspace's order, so each side of a network partition has
+// one.
 #ifndef MARIGOLDCRANK_POLICY_QUOTA_HOME_HPP
 #define MARIGOLDCRANK_POLICY_QUOTA_HOME_HPP
 
@@ -19,51 +20,53 @@
 namespace marigoldcrank
 {
 
-/// The VMs of `offered`, given by address, in the order in which they keep a workspace's
-/// quota. By rendezvous hash: all that know the same VMs have the same order, and a VM
-/// that comes or goes moves few workspaces.
+/// Sorts the VMs of `offered`, given by address, by preference as owner of a workspace's
+/// quota. Uses rendezvous hashing: VMs that know the same members compute the same order,
+/// and a VM that joins or leaves moves few workspaces.
 std::vector<std::string> order_homes(std::string const&       workspace,
                                      std::vector<std::string> offered);
 
-/// Asks for units of a quota.
+/// Query for units of a quota.
 struct quota_ask
 {
     std::string  workspace;
     std::int64_t units = 0;
-    std::string  left; // a VM that has told the asker that it stops; empty: none
+    std::string  left; // a VM that replied to the sender that it stops; empty: none
 
     auto operator<=>(quota_ask const&) const = default;
 };
 
+/// Outcome of a query at the queried VM.
 enum class quota_outcome
 {
     granted,
     over_quota, // nothing was taken
-    declined    // another VM keeps the bucket, or this one stops
+    declined    // another VM owns the bucket, or this one stops
 };
 
+/// Reply to a query.
 struct quota_answer
 {
     quota_outcome outcome = quota_outcome::declined;
     millis        retry_after{0}; // over_quota only
-    std::int64_t  left = 0;       // units in the bucket, for logs
-    std::string   home;           // declined: the VM that keeps it; empty: this one stops
+    std::int64_t  left = 0;       // units left in the bucket, for logs
+    std::string   home;           // declined: the owner; empty: this VM stops
 
     auto operator<=>(quota_answer const&) const = default;
 };
 
-/// What a VM knows of itself when it answers.
+/// State of the queried VM that decides its reply.
 struct home_view
 {
-    bool        listed = false; // it may keep quotas
-    bool        stops = false;  // it is about to end
-    std::string ahead;     // the first VM before it that was heard lately; empty: none
-    double      share = 1; // 1  part of the fleet that it hears
+    bool        listed = false; // it may own quotas
+    bool        stops = false;  // it is shutting down
+    std::string ahead;          // first reachable VM before it in the order; empty: none
+    double      share = 1;      // 1  part of the fleet that it hears
 
     bool operator==(home_view const&) const = default;
 };
 
-/// The buckets that one VM keeps for all. Pure; time is passed in.
+/// The buckets that one VM owns. No I/O; the caller passes the time.
 class quota_home
 {
 public:
@@ -74,15 +77,15 @@
         terms_ = terms;
     }
 
-    /// `quota` as this VM knows it.
+    /// Replies to a query; `quota` is the workspace's quota as this VM knows it.
     quota_answer answer(quota_ask const& ask, workspace_quota const& quota,
                         home_view const& view, boot_clock::time_point now);
 
-    /// Units that were granted have not run.
+    /// Returns granted units of a call that did not run.
     void give_back(std::string const& workspace, std::int64_t units,
                    boot_clock::time_point now);
 
-    /// Forgets buckets of workspaces that are gone.
+    /// Drops the buckets of workspaces for which `known` is false.
     template <class Known>
     void forget_unless(Known known)
     {
