--- a/src/policy/drained_servers.hpp
+++ b/src/policy/drained_servers.hpp
@@ -1,4 +1,5 @@
-// Which servers get no new work because an open order will take them out of service.
+// Selects the servers that get no new work because an open order takes them out of
+// service.
 //
 // Index: drained_servers
 #ifndef MARIGOLDCRANK_POLICY_DRAINED_SERVERS_HPP
@@ -15,10 +16,10 @@
 namespace marigoldcrank
 {
 
-/// `ordered` gives the offset of each server's open order. Controllers of two data
-/// centres may intend at the same time and so name every server of a group; callers would
-/// be refused until one of them gives way. The server of the newest order serves on until
-/// then: its order is the one that gives way.
+/// `ordered` gives the log offset of each server's open order. Controllers of two data
+/// centres may record intents at the same time that together name every server of a
+/// group. Callers would then be refused until one of the orders is abandoned. So the
+/// server with the newest order stays in service: its order is the one to be abandoned.
 inline std::set<std::string> drained_servers(std::vector<backend_server> const&   servers,
                                              std::map<std::string, std::uint64_t> ordered)
 {
--- a/src/policy/read_model.hpp
+++ b/src/policy/read_model.hpp
@@ -1,11 +1,11 @@
-// How long engines take to read prompts, learned from reads.
+// Learns how long engines take for the prefill of prompts, from completed prefills.
 //
 // Index: 1 prefill_model_options, 2 prefill_sample, 3 prefill_model
 //
-// Load answered: engines that differ from deployment to deployment by a factor of ten,
-// and in what they take before a first token however short the prompt is. A time for each
-// token and a fixed one are told apart, so that a short prompt doesn't make an engine
-// look slow, and samples that waited in a queue don't count.
+// Engines of different deployments differ by a factor of ten in prefill speed, and also
+// in the fixed time before the first token. The model estimates a time per token and a
+// fixed time separately, so that short prompts don't make an engine look slow. Samples
+// that waited in a queue don't count.
 #ifndef MARIGOLDCRANK_POLICY_READ_MODEL_HPP
 #define MARIGOLDCRANK_POLICY_READ_MODEL_HPP
 
@@ -19,38 +19,40 @@
 
 struct prefill_model_options
 {
-    // 50, 5 and 2000  tokens a ms: start and bounds of an engine's speed
+    // 50, 5 and 2000  tokens per ms; initial value and bounds of an engine's speed
     double initial_speed = 50;
     double min_speed = 5;
     double max_speed = 2000;
-    // 50 and 1000  ms; start and bound of the time that every read takes
+    // 50 and 1000  ms; initial value and bound of the fixed time of a prefill
     double initial_fixed_ms = 50;
     double max_fixed_ms = 1000;
-    // 30 and 2000  ms; start and bound of the time from a hand-over to the first event
+    // 30 and 2000  ms; initial value and bound of the time from a handoff to the first
+    //              event
     double initial_handoff_ms = 30;
     double max_handoff_ms = 2000;
-    // 0.06  of the speed, and 0.08 of the fixed times; steps of one sample
+    // 0.06 and 0.08  relative step per sample, of the speed and of the fixed times
     double speed_step = 0.06;
     double fixed_step = 0.08;
-    // 800 and 3000  tokens; shorter reads tell of the fixed time only, longer ones of the
-    //               speed only
+    // 800 and 3000  tokens; shorter prompts adjust only the fixed time, longer ones only
+    //               the speed
     std::int64_t short_prompt = 800;
     std::int64_t long_prompt = 3000;
-    // 20    ms of waiting that was expected; a sample that waited longer doesn't count
+    // 20    ms; samples with a longer expected wait don't count
     double max_wait_ms = 20;
 
     bool operator==(prefill_model_options const&) const = default;
 };
 
-/// One prompt, read by an engine that does nothing else.
+/// Prefill of one prompt.
 struct prefill_sample
 {
-    std::int64_t         tokens = 0;  // that weren't cached, as far as known
-    double               wait_ms = 0; // expected before them
+    std::int64_t         tokens = 0;  // uncached tokens, as far as known
+    double               wait_ms = 0; // expected wait before the prefill
     boot_clock::duration took{};
 };
 
-/// Follows medians by steps of a fixed size, so that no single sample moves it far. Pure.
+/// Estimates medians with steps of a fixed relative size, so that no single sample moves
+/// the estimate far. No I/O.
 class prefill_model
 {
 public:
@@ -60,6 +62,7 @@
     {
     }
 
+    /// Adjusts the estimates by one prefill.
     void read(prefill_sample const& sample)
     {
         if (sample.tokens <= 0 || sample.wait_ms > options_.max_wait_ms)
@@ -83,7 +86,8 @@
         }
     }
 
-    /// A call whose prompt another engine had read gave its first event after `took`.
+    /// Adjusts the handoff time by a call whose prompt another engine had prefilled; its
+    /// first event came after `took`.
     void handed_over(boot_clock::duration took)
     {
         bool const slower = milliseconds(took) > handoff_ms_;
@@ -91,25 +95,25 @@
         handoff_ms_ = std::clamp(handoff_ms_, 1.0, options_.max_handoff_ms);
     }
 
-    /// Tokens a ms that an engine reads.
+    /// Prefill speed of an engine, in tokens per ms.
     double speed() const noexcept
     {
         return 1 / token_ms_;
     }
 
-    /// What a read takes besides, in ms.
+    /// Fixed time of a prefill, in ms.
     double fixed_ms() const noexcept
     {
         return fixed_ms_;
     }
 
-    /// From a hand-over to the first event, in ms.
+    /// Time from a handoff to the first event, in ms.
     double handover_ms() const noexcept
     {
         return handoff_ms_;
     }
 
-    /// Whether enough reads were seen to go by the speed.
+    /// True once enough samples support the speed estimate.
     bool observed() const noexcept
     {
         constexpr std::int64_t enough = 10;
--- a/src/policy/relay_plan.cpp
+++ b/src/policy/relay_plan.cpp
@@ -1,4 +1,4 @@
-// Choosing relays.
+// Choice of relays by capacity and hash.
 #include "policy/relay_plan.hpp"
 
 #include <xxhash.h>
@@ -32,8 +32,8 @@
     return members;
 }
 
-/// The first relay of each data centre, best first: the first reads the store for the
-/// fleet, the next one stands in for it.
+/// The best two of the data centres' first relays: the first one reads the store for the
+/// fleet, the second one is its backup.
 contacts store_readers(std::map<std::string, contacts> const& centres)
 {
     contacts first_relays;
@@ -48,7 +48,8 @@
     return choose_best(std::move(first_relays), reader_and_stand_in);
 }
 
-/// Whom `own` asks for records of the store. Nobody asks a VM that may ask it in turn.
+/// The VMs that `own` queries for records of the store. The queries form no cycle: no VM
+/// queries one that may query it in turn.
 std::vector<std::string> record_sources(std::map<std::string, contacts> const& centres,
                                         contacts const& own_relays, vm_contact const& own)
 {
@@ -93,7 +94,7 @@
         bool const every_vm = plan.mesh || (plan.relay && in_own_centre);
         if (!every_vm && !plan.relay && !in_own_centre)
         {
-            continue; // its relays tell ours
+            continue; // its relays publish to this data centre's relays
         }
         for (auto const& vm : every_vm ? members : choose_best(members, options.relays))
         {
--- a/src/policy/role_planner.cpp
+++ b/src/policy/role_planner.cpp
@@ -1,4 +1,4 @@
-// Role control.
+// Number of prefill engines, their choice, and orders for changes of role.
 #include "policy/role_planner.hpp"
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 constexpr std::int64_t percent = 100;
 constexpr std::int64_t milli = 1'000;
 constexpr std::int64_t micros_per_second = 1'000'000;
-constexpr std::int64_t shortage_percent = 100; // of the engines needed: short of them
+constexpr std::int64_t shortage_percent = 100; // need, % of the engines, for a shortage
 
-/// Thousandths of an engine that decode `output_tokens` a second in full batches.
+/// Thousandths of an engine that decode `output_tokens` per second in full batches.
 std::int64_t decode_need(std::int64_t output_tokens, engine_speed const& speed)
 {
     auto const token_us = speed.step_us / speed.batch + speed.stream_us;
@@ -40,10 +40,10 @@
 {
 }
 
-// 1. How many engines
+// 1. Number of prefill engines
 
-/// More prefill engines at once; fewer only after the need stayed low for the smoothing
-/// time, since a swing back is as likely as not.
+/// Raises the number of prefill engines at once. Lowers it only after the need has stayed
+/// low for the smoothing time, because a swing back is as likely as not.
 std::int64_t role_planner::plan_prefill(engine_role_plan& plan, role_demand const& demand,
                                         std::int64_t usable)
 {
@@ -81,10 +81,11 @@
     return std::min(prefill_engines_, std::max<std::int64_t>(0, usable - 1));
 }
 
-// 2. Which engines
+// 2. Choice of engines
 
-/// Engines that already have the role come first, then those already so used, then the
-/// emptiest: the fewest streams see a change of use.
+/// Prefers engines that already have the prefill role, then those already used for
+/// prefill, then those with the fewest streams, so that a change of use affects as few
+/// streams as possible.
 void role_planner::assign_uses(engine_role_plan&               plan,
                                std::vector<role_engine> const& engines)
 {
@@ -118,10 +119,11 @@
     }
 }
 
-// 3. Which orders
+// 3. Orders
 
-/// An unfit role loses the whole engine, a mixed one the gain of the fitting role; what
-/// is lost counts only while the group is short of engines.
+/// Adds up the service lost without a change. An engine in the wrong role loses all of
+/// its service. A mixed engine loses the gain of the fitting role, which counts only
+/// while the group is short of engines.
 void role_planner::order_roles(engine_role_plan&               plan,
                                std::vector<role_engine> const& engines, millis since)
 {
--- a/src/policy/role_split.cpp
+++ b/src/policy/role_split.cpp
@@ -1,4 +1,4 @@
-// Splits engines by the work that each role has.
+// Split of engines by the load on each role.
 #include "policy/role_split.hpp"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
         auto const decode_engines = static_cast<double>(engines - count);
         if (need.beside)
         {
-            // An engine that decodes reads at half the speed of one that reads only.
+            // A decode engine prefills at half the speed of a prefill engine.
             return (need.prefill + need.decode / 2) /
                    (static_cast<double>(count) + decode_engines / 2);
         }
@@ -48,7 +48,7 @@
 plan_role_changes(std::vector<split_engine> const& engines, role_need const& need,
                   boot_clock::time_point now, role_split_options const& options)
 {
-    std::map<std::string, std::int64_t> by_centre; // engines that read prompts
+    std::map<std::string, std::int64_t> by_centre; // prefill engines by data centre
     std::int64_t                        prefill = 0;
     std::int64_t                        changing = 0;
     for (auto const& each : engines)
@@ -76,7 +76,8 @@
     std::vector<backend_server const*> result;
     while (static_cast<std::int64_t>(result.size()) < std::min(allowed, std::abs(change)))
     {
-        // A data centre short of the wanted role changes first, there the idlest engine.
+        // The data centre with the fewest prefill engines gains one first, the one with
+        // the most loses one first; in it the engine with the fewest calls changes.
         auto const rank = [&](split_engine const& each)
         {
             auto const centre_prefill = by_centre[each.server->data_centre];
--- a/src/policy/spending_plan.cpp
+++ b/src/policy/spending_plan.cpp
@@ -1,4 +1,4 @@
-// Ordering of backend servers by data centre and price.
+// Search for the cheapest numbers of servers, and their spread over data centres.
 #include "policy/spending_plan.hpp"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
     return (need_milli + per_server - 1) / std::max<std::int64_t>(1, per_server);
 }
 
-/// Spreads `total` evenly, within each data centre's limit.
+/// Spreads `total` evenly over the data centres, within the limit of each.
 template <class Limit, class Assign>
 void spread(std::size_t zones, std::int64_t total, Limit&& limit, Assign&& assign)
 {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Totals over the data centres that can be ordered in.
+/// Totals over the data centres where orders can be given.
 struct totals
 {
     std::int64_t zones = 0;
@@ -73,8 +73,8 @@
     return input.reachable[zone] ? input.most[zone].cheap : 0;
 }
 
-/// Cheap servers of the data centre that gets most of `cheap`: where limits differ, more
-/// than an even part.
+/// Cheap servers of the data centre that gets the most of `cheap`. This is more than an
+/// even share where the limits differ.
 std::int64_t max_cheap_in_zone(spending_input const& input, std::int64_t cheap)
 {
     std::int64_t most = 0;
@@ -85,7 +85,7 @@
     return most;
 }
 
-/// Dear servers needed beside `cheap` ones.
+/// Full-price servers needed in addition to `cheap` cheap ones.
 std::int64_t full_price_needed(spending_input const& input, std::int64_t cheap,
                                totals const& sum, spending_plan const& plan)
 {
--- a/src/policy/spending_plan.hpp
+++ b/src/policy/spending_plan.hpp
@@ -1,4 +1,4 @@
-// How many backend servers of each data centre and price are wanted.
+// Plans the cheapest number of full-price and cheap backend servers per data centre.
 //
 // Index: 1 server_count, 2 spending_input, 3 spending_plan, 4 plan_spending,
 //        5 spending_planner
@@ -24,39 +24,39 @@
     auto operator<=>(server_count const&) const = default;
 };
 
-/// What the plan is made from.
+/// Input of the plan. The vectors have one element per data centre.
 struct spending_input
 {
     std::int64_t need_milli = 0;         // engines that the demand keeps busy, 1000ths
-    std::vector<server_count> most;      // by data centre: what may be ordered
-    std::vector<server_count> have;      // by data centre: servers there are
-    std::vector<bool>         reachable; // by data centre: orders can be given there
-    std::int64_t              least = 1; // dear servers a data centre
+    std::vector<server_count> most;      // most servers that may be ordered
+    std::vector<server_count> have;      // present servers
+    std::vector<bool>         reachable; // whether orders can be given there
+    std::int64_t              least = 1; // 1  full-price servers per data centre
 
     bool operator==(spending_input const&) const = default;
 };
 
-/// Wanted servers by data centre and price, and what decided their number.
+/// Wanted servers by data centre, and the figures that determine their number.
 struct spending_plan
 {
     std::vector<server_count> wanted;
-    std::int64_t              price = 0;    // of all wanted, a dear server counting 100
-    std::int64_t              for_load = 0; // servers wanted for the load
-    std::int64_t              for_loss = 0; // servers that must outlive a cheap zone
-    bool                      short_of_servers = false; // the limits allow no more
+    std::int64_t              price = 0;    // of all wanted servers; full price: 100 each
+    std::int64_t              for_load = 0; // servers that carry the load
+    std::int64_t              for_loss = 0; // servers required after the loss of a zone
+    bool                      short_of_servers = false; // the limits allow too few
 
     bool operator==(spending_plan const&) const = default;
 };
 
-/// The cheapest numbers that carry the load, and still carry it, fuller, when the data
-/// centre with most cheap servers loses all of them.
+/// The cheapest numbers that carry the load, and that still carry it, at a higher use,
+/// after the data centre with the most cheap servers has lost all of them.
 spending_plan plan_spending(spending_input const& input, spending_options const& options);
 
-/// Keeps the need's peak for a time, so that a server is drained only after demand has
-/// stayed low: what was released too early takes long to come back. A planner that has
-/// just started, as on a controller that has just taken its lease, knows no peak: it
-/// releases nothing until it has watched for as long. Without this every change of
-/// controller would drain the fleet in the middle of a peak.
+/// Plans for the peak need of the last `release_ms`, so that a server is drained only
+/// after the demand has stayed low: a server released too early takes long to replace. A
+/// planner that has just started, such as on a controller that has just acquired its
+/// lease, knows no peak. It releases nothing until it has observed demand for as long.
+/// Otherwise every change of controller would drain the fleet in the middle of a peak.
 class spending_planner
 {
 public:
@@ -72,8 +72,8 @@
     };
 
     spending_options       options_;
-    boot_clock::time_point started_{};    // of watching; epoch: not yet
-    std::deque<sample> decreasing_needs_; // recent needs, falling: the first is the peak
+    boot_clock::time_point started_{};    // first step; epoch: none yet
+    std::deque<sample> decreasing_needs_; // recent needs, decreasing; the first: the peak
 };
 
 } // namespace marigoldcrank
--- a/src/policy/wanted_state.cpp
+++ b/src/policy/wanted_state.cpp
@@ -1,4 +1,4 @@
-// Which order comes next.
+// Choice of the next order.
 #include "policy/wanted_state.hpp"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
                          [&](role_view const& engine) { return engine.role == role; });
 }
 
-/// The first engine in that role, by id, so that every controller picks the same one.
+/// The engine in that role with the lowest id, so that every controller chooses the same.
 std::optional<std::string> first_in_role(std::vector<role_view> const& engines,
                                          engine_role                   role)
 {
@@ -31,7 +31,8 @@
     return first;
 }
 
-/// An engine that can be spared for `wanted`: a mixed one, else one beyond its own plan.
+/// An engine that can take a new role: a mixed one, else one of the `other` role if that
+/// role has more engines than planned.
 std::optional<std::string> spare_engine(std::vector<role_view> const& engines,
                                         engine_role other, bool other_has_surplus)
 {
--- a/src/policy/work_meter.hpp
+++ b/src/policy/work_meter.hpp
@@ -1,4 +1,4 @@
-// Measures what model calls ask of engines, from the calls of this VM.
+// Measures the demand of model calls on engines, from the calls of this VM.
 //
 // Index: 1 work_demand, 2 work_meter
 #ifndef MARIGOLDCRANK_POLICY_WORK_METER_HPP
@@ -14,16 +14,16 @@
 namespace marigoldcrank
 {
 
-/// What callers ask of the engines of a service, as measured at one or more VMs.
+/// Demand on the engines of a service, as measured at one or more VMs.
 struct work_demand
 {
-    double prompt_rate = 0;   // tokens a second to be read by engines that only read
-    double prefill_speed = 0; // tokens a second, of one such engine; 0: not known yet
-    double streams = 0;       // running at once, on engines that only decode
+    double prompt_rate = 0;   // prompt tokens per second to prefill
+    double prefill_speed = 0; // tokens per second of one prefill engine; 0: unknown
+    double streams = 0;       // concurrent streams, if engines do nothing but decode
 
     bool operator==(work_demand const&) const = default;
 
-    /// Engines that are kept busy reading; 0 while their speed isn't known.
+    /// Engines that prefill keeps busy; 0 while their speed is unknown.
     double prefill_engines() const
     {
         return prefill_speed > 0 ? prompt_rate / prefill_speed : 0;
@@ -36,7 +36,8 @@
         streams += other.streams;
     }
 
-    /// Takes off a part of this sum that may be a little newer than the sum.
+    /// Subtracts a part of this sum. The part may be slightly newer than the sum, so the
+    /// result is limited to zero.
     void subtract(work_demand const& part)
     {
         prompt_rate = std::max(prompt_rate - part.prompt_rate, 0.0);
@@ -44,51 +45,54 @@
     }
 };
 
-/// Rates decay exponentially, so that a swing is seen within seconds. The pace of streams
-/// is the best seen lately: a slow one has shared its engine. Pure.
+/// Rates decay exponentially, so that a swing shows within seconds. The time between
+/// events of a stream is the shortest of recent streams, because a slow stream has shared
+/// its engine. No I/O.
 class work_meter
 {
 public:
-    /// A prompt is about to be read; `tokens` that no cache is likely to hold.
+    /// Records a prompt whose prefill is about to begin; `tokens` are those that are
+    /// probably not cached.
     void prompt(std::int64_t tokens, boot_clock::time_point now)
     {
         decay(now);
         prompt_rate_ += static_cast<double>(tokens) / decay_s;
     }
 
-    /// An engine has read a prompt.
+    /// Records a prefill at a prefill engine.
     void prompt_read(prefill_sample const& sample)
     {
         prefill_.read(sample);
     }
 
-    /// A call whose prompt another engine had read gave its first event after `took`.
+    /// Records a handoff: a call whose prompt another engine had prefilled gave its first
+    /// event after `took`.
     void handed_over(boot_clock::duration took)
     {
         prefill_.handed_over(took);
     }
 
-    /// An engine that decodes has read a prompt beside its streams and given the first
-    /// event.
+    /// Records a colocated prefill: a decode engine has prefilled a prompt beside its
+    /// streams and given the first event.
     void read_beside(prefill_sample const& sample)
     {
         colocated_.read(sample);
     }
 
-    /// Reading at engines that do nothing else.
+    /// Prefill at engines that do nothing else.
     prefill_model const& reads() const noexcept
     {
         return prefill_;
     }
 
-    /// Reading at engines that decode. What a queue that no VM has heard of adds shows in
-    /// the fixed part of either, so that calls move to the role that has room.
+    /// Prefill at decode engines. In both models the wait in a queue that no VM knows of
+    /// adds to the fixed time, so that calls move to the role with free capacity.
     prefill_model const& beside() const noexcept
     {
         return colocated_;
     }
 
-    /// A stream has ended; time from its first to its last event.
+    /// Records the end of a stream; `took` is the time from its first to its last event.
     void stream(std::int64_t events, boot_clock::duration took,
                 boot_clock::time_point now)
     {
@@ -104,13 +108,15 @@
         }
     }
 
-    /// Tokens a second that one engine reads when it does nothing else; 0: not known yet.
+    /// Prefill speed of one engine that does nothing else, in tokens per second; 0:
+    /// unknown.
     double prefill_speed() const
     {
         constexpr double second_ms = 1000;
         return prefill_.observed() ? prefill_.speed() * second_ms : 0;
     }
 
+    /// The current demand. Rates are corrected for the short time since the start.
     work_demand demand(boot_clock::time_point now)
     {
         decay(now);
@@ -121,14 +127,15 @@
 
 private:
     static constexpr double decay_s = 8; // s; shorter than a swing, longer than a burst
-    // 2     s; a rate that was measured for less isn't extrapolated further
+    // 2     s; a rate measured for less time is extrapolated as if for 2 s
     static constexpr double min_measured_s = 2;
-    // Of a best value, with each new sample: some thousand samples, all of them slow, are
-    // needed to believe in a slower engine. Faster forgetting takes a queue for slowness.
+    // Factor of the best value per sample. An engine counts as slower only after several
+    // thousand slow samples; with faster decay a queue would look like a slow engine.
     static constexpr double       interval_decay = 0.9998;
-    static constexpr std::int64_t min_events = 4; // fewer don't show a pace
+    static constexpr std::int64_t min_events = 4; // fewer don't show the stream's speed
 
-    /// A rate that decays is too low until it has been measured for a while: by so much.
+    /// Factor by which a decaying rate is too low because it has been measured for only a
+    /// short time.
     double measured_share(boot_clock::time_point now) const
     {
         auto const measured = std::chrono::duration<double>(now - started_at_).count();
@@ -153,8 +160,8 @@
         {.initial_speed = prefill_model_options{}.initial_speed / 2}};
     boot_clock::time_point started_at_{};
     boot_clock::time_point decayed_at_{};
-    double                 prompt_rate_ = 0;   // tokens a second
-    double                 event_rate_ = 0;    // events a second
+    double                 prompt_rate_ = 0;   // tokens per second
+    double                 event_rate_ = 0;    // events per second
     double                 best_interval_ = 0; // s between events
 };
 
--- a/tests/unit/drained_servers_test.cpp
+++ b/tests/unit/drained_servers_test.cpp
@@ -1,4 +1,4 @@
-// Servers that open orders take out of service, and the last one of a group.
+// Tests which servers open orders take out of service, including the last of a group.
 #include "policy/drained_servers.hpp"
 
 #include <gtest/gtest.h>
@@ -15,9 +15,10 @@
     return {.id = id, .group = "wording", .leaving = leaving};
 }
 
-// Two data centres change the role of their only engine at the same moment: no engine of
-// the group takes work, and every caller is refused until one order is closed.
-TEST(drained_servers, leave_the_newest_of_a_whole_group_in_service)
+// Two data centres order a change of role of their only engine at the same time. Without
+// the exception no engine of the group takes work, and every caller is refused until one
+// order is closed.
+TEST(drained_servers, newest_stays_in_service_if_orders_name_the_complete_group)
 {
     EXPECT_EQ(drained_servers({member("a"), member("b")}, {{"a", 5}, {"b", 7}}),
               names{"a"});
@@ -26,7 +27,7 @@
               names{"b"});
 }
 
-TEST(drained_servers, are_all_of_them_while_another_serves)
+TEST(drained_servers, all_ordered_servers_drain_while_another_serves)
 {
     EXPECT_EQ(
         drained_servers({member("a"), member("b"), member("c")}, {{"a", 5}, {"b", 7}}),
--- a/tests/unit/mass_loss_test.cpp
+++ b/tests/unit/mass_loss_test.cpp
@@ -1,4 +1,4 @@
-// Losses of several servers at once against the crash of one.
+// Tests the distinction between the loss of several servers at once and single crashes.
 #include "policy/mass_loss.hpp"
 #include "policy/poison_list.hpp"
 
@@ -16,9 +16,9 @@
     return boot_clock::time_point{millis{ms}};
 }
 
-// A zone of cheap servers is reclaimed: what streamed from each of them is suspected of
-// having crashed it, and waits for a server of its own beyond its deadline.
-TEST(mass_loss, excuses_what_was_on_one_of_several_servers)
+// The platform reclaims a zone of cheap servers. If the contents in flight on them stayed
+// suspects, each would wait for a server of its own until past its deadline.
+TEST(mass_loss, excuses_contents_in_flight_on_one_of_several_servers)
 {
     mass_loss losses(millis{2000});
     EXPECT_EQ(losses.note("a", "first", at(0)), contents{});
@@ -28,9 +28,9 @@
               (contents{"first", "late", "second", "third"}));
 }
 
-// A request crashes a server, is sent again and crashes the next within the same second:
-// it must not pass for a victim of a reclaim.
-TEST(mass_loss, does_not_excuse_what_was_on_each_of_them)
+// A request crashes a server, is sent again and crashes the next one within the same
+// second. It must not be mistaken for a victim of a reclaim.
+TEST(mass_loss, does_not_excuse_contents_in_flight_on_each_server)
 {
     mass_loss losses(millis{2000});
     losses.note("a", "poison", at(0));
@@ -45,8 +45,8 @@
     EXPECT_EQ(losses.note("b", "second", at(2000)), contents{});
 }
 
-// Poison falls into the moment of a reclaim, is excused and runs among others: its next
-// crash must end it, or it would take a third server.
+// Poison that crashes a server during a reclaim is excused and runs beside other calls.
+// Its next crash must block it, or it would crash a third server.
 TEST(mass_loss, an_excused_crash_still_counts)
 {
     poison_list list({});
--- a/tests/unit/prefix_directory_test.cpp
+++ b/tests/unit/prefix_directory_test.cpp
@@ -1,6 +1,6 @@
-// Which engines are believed to keep which parts.
+// Tests which prompt parts the directory lists as cached at which engines.
 //
-// Index: 1 chains, 2 news, 3 forgetting
+// Index: 1 chains, 2 updates, 3 expiry
 #include "policy/prefix_directory.hpp"
 
 #include <gtest/gtest.h>
@@ -24,18 +24,18 @@
 
 // 1. Chains
 
-TEST(prefix_directory, a_part_counts_only_behind_all_before_it)
+TEST(prefix_directory, a_part_counts_only_if_all_parts_before_it_are_cached)
 {
     prefix_directory caches;
     caches.sent("e", {{"a", 100}, {"b", 1000}, {"own", 10}}, millis{0}, at(0));
     EXPECT_EQ(caches.kept({{"a", 100}, {"b", 1000}, {"x", 7}}, at(1)), only("e", 1100));
     EXPECT_EQ(caches.kept({{"a", 100}, {"c", 1000}, {"x", 7}}, at(1)), only("e", 100));
     EXPECT_TRUE(caches.kept({{"c", 50}, {"b", 1000}, {"x", 7}}, at(1)).empty());
-    EXPECT_TRUE(caches.kept({{"own", 10}, {"x", 7}}, at(1)).empty()); // a caller's own
+    EXPECT_TRUE(caches.kept({{"own", 10}, {"x", 7}}, at(1)).empty()); // one caller's part
     EXPECT_TRUE(caches.kept({}, at(1)).empty());
 }
 
-TEST(prefix_directory, engines_that_keep_less_are_listed_with_less)
+TEST(prefix_directory, engines_with_fewer_cached_parts_are_listed_with_fewer_tokens)
 {
     prefix_directory caches;
     caches.sent("e", {{"a", 100}, {"b", 1000}, {"own", 10}}, millis{0}, at(0));
@@ -45,21 +45,21 @@
     EXPECT_EQ(kept.at("f").all, 100);
 }
 
-// A part that is fetched while it is still being read is read a second time.
-TEST(prefix_directory, a_part_is_ready_once_it_has_been_read)
+// A call that counts on a part whose prefill hasn't ended repeats the prefill.
+TEST(prefix_directory, a_part_is_ready_after_its_prefill)
 {
     prefix_directory caches;
     prompt const     call{{"a", 100}, {"b", 1000}, {"own", 10}};
     caches.sent("e", {{"a", 100}, {"own", 10}}, millis{0}, at(0));
     caches.sent("e", call, millis{300}, at(10));
     EXPECT_EQ(caches.kept(call, at(100)).at("e"), (cached_tokens{1100, 100}));
-    caches.sent("e", call, millis{300}, at(200)); // waits for the same read
+    caches.sent("e", call, millis{300}, at(200)); // waits for the same prefill
     EXPECT_EQ(caches.kept(call, at(310)).at("e"), (cached_tokens{1100, 1100}));
 }
 
-// 2. News
+// 2. Updates
 
-TEST(prefix_directory, other_vms_hear_of_a_part_once_and_again_after_a_while)
+TEST(prefix_directory, a_part_is_published_once_and_again_after_the_interval)
 {
     prefix_directory sender;
     prefix_directory receiver;
@@ -70,16 +70,16 @@
     ASSERT_EQ(news.size(), 1U);
     EXPECT_EQ(news.front().parts.size(), 1U);
     receiver.hear(news.front(), news_source::centre, at(100));
-    EXPECT_EQ(receiver.kept(call, at(101)).at("e").ready, 0); // still being read
+    EXPECT_EQ(receiver.kept(call, at(101)).at("e").ready, 0); // still in prefill
     EXPECT_EQ(receiver.kept(call, at(600)), only("e", 100));
     EXPECT_TRUE(sender.take_news().empty());
     sender.sent("e", call, millis{0}, at(5000));
     EXPECT_EQ(sender.take_news()[news_source::own].size(), 1U);
 }
 
-// Two relays that pass on what they hear from each other tell it for ever: links and
-// memory of small VMs fill up within seconds.
-TEST(prefix_directory, what_was_heard_is_told_apart_and_once)
+// If two relays passed on updates that they receive from each other, the updates would
+// circulate for ever and fill the links and the memory of small VMs within seconds.
+TEST(prefix_directory, received_updates_are_published_once_and_by_source)
 {
     prefix_directory relay;
     relay.hear({"e", {1, 2}}, news_source::centre, at(0));
@@ -92,11 +92,11 @@
     EXPECT_TRUE(relay.take_news().empty());
 }
 
-// 3. Forgetting
+// 3. Expiry
 
-// An engine that has started anew under its old id would be believed to keep prompts, and
-// calls would go to it for nothing.
-TEST(prefix_directory, an_engine_that_starts_anew_keeps_nothing)
+// An engine that has restarted under its old id has an empty cache. Calls must not be
+// sent to it because of its earlier entries.
+TEST(prefix_directory, a_restarted_engine_has_no_entries)
 {
     prefix_directory caches;
     prompt const     call{{"a", 100}, {"own", 10}};
@@ -105,10 +105,10 @@
     EXPECT_TRUE(caches.kept(call, at(1)).empty());
 }
 
-// Engines leave and come back under their names while parts expire: what a part's engines
-// and an engine's parts tell must stay the same, or a call waits for a cache that is
-// gone.
-TEST(prefix_directory, an_engine_keeps_nothing_from_before_it_was_forgotten)
+// Engines leave and return under the same id while parts expire. The index by part and
+// the index by engine must stay consistent, or a call waits for a cache that no longer
+// exists.
+TEST(prefix_directory, entries_from_before_a_restart_do_not_return)
 {
     prefix_directory caches;
     prompt const     part{{"a", 100}, {"own", 10}};
@@ -129,7 +129,7 @@
     }
 }
 
-TEST(prefix_directory, what_nobody_used_for_long_is_forgotten)
+TEST(prefix_directory, parts_unused_for_longer_than_their_max_age_expire)
 {
     prefix_directory caches;
     prompt const     call{{"a", 100}, {"own", 10}};
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -1,6 +1,6 @@
-// Quotas of workspaces: the bucket, who keeps it, whom a VM asks.
+// Tests quotas of workspaces: the bucket, its owner, and the queries for units.
 //
-// Index: 1 bucket, 2 fleet share, 3 homes, 4 course of questions, 5 cost
+// Index: 1 bucket, 2 fleet share, 3 owners, 4 sequence of queries, 5 cost
 #include "policy/fleet_share.hpp"
 #include "policy/quota_bucket.hpp"
 #include "policy/quota_course.hpp"
@@ -27,17 +27,17 @@
 
 // 1. Bucket
 
-// A prompt twice as large as a second of the quota would never run.
+// A prompt larger than the bucket's capacity would otherwise never run.
 TEST(quota_bucket, call_larger_than_the_capacity_runs_from_a_full_bucket)
 {
     quota_bucket bucket({.rate = 1000, .capacity = 1000, .start = 1000}, at_ms(0));
     EXPECT_FALSE(bucket.take(3000, at_ms(0)));
-    EXPECT_TRUE(bucket.take(1, at_ms(1900))); // its debt isn't paid back yet
+    EXPECT_TRUE(bucket.take(1, at_ms(1900))); // the debt isn't paid back yet
     EXPECT_FALSE(bucket.take(1, at_ms(2100)));
 }
 
-// Callers who are all told the same time come back together and are refused again.
-TEST(quota_bucket, those_refused_are_told_times_one_after_the_other)
+// Refused callers with the same time to retry would return together and be refused again.
+TEST(quota_bucket, refused_callers_get_successive_retry_times)
 {
     quota_bucket bucket({.rate = 1000, .capacity = 1000, .start = 0}, at_ms(0));
     EXPECT_EQ(bucket.take(500, at_ms(0)), millis{500});
@@ -46,13 +46,13 @@
     EXPECT_FALSE(bucket.take(500, at_ms(500)));
 }
 
-TEST(quota_bucket, bucket_that_holds_nothing_lets_nothing_in)
+TEST(quota_bucket, bucket_without_capacity_admits_nothing)
 {
     quota_bucket bucket({.rate = 0, .capacity = 0, .start = 0}, at_ms(0));
     EXPECT_TRUE(bucket.take(1, at_ms(0)));
 }
 
-TEST(quota_bucket, what_is_charged_afterwards_is_paid_back_first)
+TEST(quota_bucket, later_charges_are_paid_back_before_the_next_call)
 {
     quota_bucket bucket({.rate = 100, .capacity = 100, .start = 100}, at_ms(0));
     EXPECT_FALSE(bucket.take(1, at_ms(0)));
@@ -61,7 +61,7 @@
     EXPECT_FALSE(bucket.take(1, at_ms(2100)));
 }
 
-TEST(quota_bucket, what_has_not_run_is_there_again)
+TEST(quota_bucket, units_of_calls_that_did_not_run_are_returned)
 {
     quota_bucket bucket({.rate = 0, .capacity = 1000, .start = 1000}, at_ms(0));
     EXPECT_FALSE(bucket.take(1000, at_ms(0)));
@@ -70,8 +70,8 @@
     EXPECT_FALSE(bucket.take(1000, at_ms(0)));
 }
 
-// A limit is lowered while the workspace has saved up units under the higher one.
-TEST(quota_bucket, lowered_limit_takes_what_was_saved_up)
+// A limit is lowered while the bucket holds units that were saved under the higher limit.
+TEST(quota_bucket, lowered_limit_removes_saved_units)
 {
     quota_bucket bucket({.rate = 1000, .capacity = 9000, .start = 9000}, at_ms(0));
     bucket.limit({.rate = 10, .capacity = 100, .start = 0}, at_ms(0));
@@ -79,8 +79,8 @@
     EXPECT_TRUE(bucket.take(1, at_ms(0)));
 }
 
-// Hundreds of VMs that can ask nobody would each run one large call.
-TEST(quota_bucket, vms_without_a_home_hold_less_than_one_start_together)
+// Hundreds of isolated VMs, which can query no other, would each run one large call.
+TEST(quota_bucket, isolated_vms_together_hold_less_than_an_owner_starts_with)
 {
     constexpr int vms = 300;
     auto const    alone = bounds_alone(small_quota, terms, 1.0 / vms);
@@ -105,8 +105,9 @@
 
 // 2. Fleet share
 
-// A cut fleet whose sides both give out the whole of a limit gives out twice of it.
-TEST(fleet_share, sides_of_a_cut_share_what_there_is)
+// If both sides of a network partition granted the whole of a limit, the fleet would
+// grant it twice.
+TEST(fleet_share, sides_of_a_partition_share_the_limit)
 {
     fleet_share left;
     fleet_share right;
@@ -118,8 +119,9 @@
     EXPECT_GT(left.value(), 0.6);
 }
 
-// VMs that end together leave too small a limit to those that stay, but not for long.
-TEST(fleet_share, vms_that_ended_are_forgotten)
+// VMs that end together reduce the limit of the remaining ones, but only until they
+// expire from the window.
+TEST(fleet_share, vms_that_ended_expire)
 {
     fleet_share share;
     share.note(90, 90, at_ms(0));
@@ -129,8 +131,8 @@
     EXPECT_DOUBLE_EQ(share.value(), 1.0);
 }
 
-// A VM that has just started and knows nobody gives out little.
-TEST(fleet_share, unknown_fleet_is_taken_for_a_large_one)
+// A VM that has just started and knows no other must grant only a small share.
+TEST(fleet_share, unknown_fleet_counts_as_a_large_one)
 {
     fleet_share share;
     share.note(1, 0, at_ms(0));
@@ -139,8 +141,8 @@
     EXPECT_DOUBLE_EQ(share.value(), 1.0);
 }
 
-// All VMs start at once with callers already there.
-TEST(fleet_share, vm_that_has_just_started_settles_when_it_hears_the_others)
+// All VMs start at once while callers already send calls.
+TEST(fleet_share, started_vm_settles_when_it_hears_the_others)
 {
     fleet_share share;
     share.note(1, 0, at_ms(0));
@@ -154,7 +156,7 @@
     EXPECT_TRUE(isolated.settled(at_ms(2000)));
 }
 
-// 3. Homes
+// 3. Owners
 
 std::vector<std::string> const offered{"a", "b", "c", "d", "e", "f"};
 
@@ -180,7 +182,7 @@
     }
 }
 
-// Two VMs that both take themselves for the home grant twice the quota.
+// Two VMs that both act as the owner would grant twice the quota.
 TEST(quota_home, vm_that_hears_one_before_it_names_that_one)
 {
     quota_home home{terms};
@@ -189,10 +191,10 @@
     EXPECT_EQ(answer.outcome, quota_outcome::declined);
     EXPECT_EQ(answer.home, "a");
     auto const left = home.answer({"w", 10, "a"}, small_quota, view, at_ms(0));
-    EXPECT_EQ(left.outcome, quota_outcome::granted); // "a" has said that it stops
+    EXPECT_EQ(left.outcome, quota_outcome::granted); // "a" replied that it stops
 }
 
-TEST(quota_home, vm_that_stops_keeps_nothing)
+TEST(quota_home, vm_that_stops_owns_no_quota)
 {
     quota_home home{terms};
     home_view  view{.listed = true, .stops = true, .ahead = {}, .share = 1};
@@ -201,9 +203,9 @@
     EXPECT_TRUE(answer.home.empty());
 }
 
-// 4. Course of questions
+// 4. Sequence of queries
 
-TEST(quota_course, silent_home_is_asked_again_when_the_next_vm_knows_it_to_live)
+TEST(quota_course, silent_owner_is_queried_again_if_the_next_vm_reports_it_alive)
 {
     quota_course queries{{"a", "b", "c"}};
     EXPECT_EQ(queries.address(), "a");
@@ -216,7 +218,7 @@
     EXPECT_TRUE(queries.address().empty());
 }
 
-TEST(quota_course, home_that_stops_is_named_to_the_next)
+TEST(quota_course, owner_that_stops_is_named_to_the_next_vm)
 {
     quota_course queries{{"a", "b"}};
     queries.take(quota_reply::declined);
@@ -224,8 +226,8 @@
     EXPECT_EQ(queries.left(), "a");
 }
 
-// Questions that go round would hold a call until its caller's time is over.
-TEST(quota_course, ends_after_three_questions)
+// Queries without a bound would hold a call past its deadline.
+TEST(quota_course, ends_after_three_queries)
 {
     quota_course queries{{"a", "b", "c", "d"}};
     int          questions = 0;
@@ -238,7 +240,7 @@
     EXPECT_FALSE(queries.decided());
 }
 
-TEST(quota_course, nobody_to_ask_is_known_at_once)
+TEST(quota_course, is_empty_without_candidates)
 {
     quota_course const queries{{}};
     EXPECT_TRUE(queries.address().empty());
@@ -247,7 +249,7 @@
 
 // 5. Cost
 
-TEST(quota_cost, is_what_the_call_states_or_a_fixed_cost)
+TEST(quota_cost, is_the_stated_tokens_or_a_fixed_cost)
 {
     caller_call call;
     EXPECT_EQ(quota_cost(small_quota, call), 200);
