--- a/tests/property/load_relay_property_test.cpp
+++ b/tests/property/load_relay_property_test.cpp
@@ -1,4 +1,4 @@
-// Sums of work over relays: each VM's work counts once, whoever passes it on.
+// Tests sums of work over relays: the work of each VM counts once on every path.
 #include "policy/load_relay.hpp"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
     return vms;
 }
 
-/// Each VM publishes in turn, and whoever follows it hears it at once.
+/// Each VM publishes in turn, and the VMs that receive from it do so at once.
 void publish_all(std::vector<simulated_vm>& vms, boot_clock::time_point now)
 {
     for (auto& sender : vms)
@@ -61,8 +61,8 @@
     }
 }
 
-// If a VM's work were counted twice, by both relays of its data centre, engines would
-// look full that are free, and callers would be refused.
+// If both relays of a data centre counted a VM's work, free engines would look full and
+// callers would be refused.
 RC_GTEST_PROP(load_relay, steady_work_of_all_others_is_counted_once_everywhere, ())
 {
     auto         vms = make_fleet(*rc::gen::inRange(1, 5), *rc::gen::inRange(1, 9));
@@ -75,7 +75,7 @@
         vm.own.demands["models"].prompt_rate = running * 500.0;
         total += running;
     }
-    constexpr int rounds = 5; // a sum takes three digests to come round
+    constexpr int rounds = 5; // a sum needs three digests to reach all VMs
     for (int round = 0; round < rounds; ++round)
     {
         publish_all(vms, at_ms(1000 + 150 * round));
@@ -91,9 +91,9 @@
     }
 }
 
-// A relay dies. Its members hear the other one, and what the dead one told is forgotten
-// rather than added up.
-TEST(load_relay, members_go_on_with_the_other_relay)
+// A relay fails. Its members receive from the other one, and the failed relay's sums are
+// dropped instead of being added.
+TEST(load_relay, members_continue_with_the_other_relay)
 {
     auto vms = make_fleet(2, 8);
     for (auto& vm : vms)
@@ -114,8 +114,8 @@
     }
 }
 
-// All relays of a data centre fall silent. Old sums must not steer calls for ever.
-TEST(load_relay, sums_that_are_not_renewed_are_forgotten)
+// All relays of a data centre stop publishing. Old sums must not affect routing for ever.
+TEST(load_relay, sums_without_updates_expire)
 {
     auto vms = make_fleet(1, 12);
     for (auto& vm : vms)
--- a/tests/property/order_property_test.cpp
+++ b/tests/property/order_property_test.cpp
@@ -1,5 +1,6 @@
-// Orders: the fold under any interleaving, and purchases against a platform that loses
-// answers, acts late and shows a list that lags, with orderers that die in between.
+// Tests the fold of orders under any interleaving, and purchases from a platform that
+// loses responses, acts late and shows a list that lags, with orderers that fail
+// meanwhile.
 //
 // Index: 1 fold, 2 purchases
 #include "ledger/ledger.hpp"
@@ -21,7 +22,7 @@
 
 // 1. Fold
 
-/// Records that any process might append, by the state at some earlier moment.
+/// Records that any process may append, based on its state at some earlier time.
 class order_records
 {
 public:
@@ -36,7 +37,7 @@
         add(record);
     }
 
-    /// An intent under the epoch that `who` had last, which may be over.
+    /// Appends an intent under the last epoch of `who`, which may have ended.
     void intend(int who, int target, int id)
     {
         wire::log_record record;
@@ -129,7 +130,7 @@
         other.apply(index + 1, world.log[index]);
     }
     RC_ASSERT(other == world.fold());
-    // A fold restored from a snapshot equals the one that was saved.
+    // A fold restored from a snapshot equals the saved one.
     wire::order_state_snapshot snapshot;
     other.orders().save(snapshot);
     RC_ASSERT(order_fold::restored(snapshot) == other.orders());
@@ -137,12 +138,12 @@
 
 // 2. Purchases
 
-constexpr std::int64_t longest_lag = 300;   // of the list, ms
-constexpr std::int64_t longest_delay = 300; // of the platform's own doing, ms
+constexpr std::int64_t longest_lag = 300;   // of the platform's list, ms
+constexpr std::int64_t longest_delay = 300; // of a purchase's effect, ms
 constexpr millis       settle_limit{1000};
 constexpr std::int64_t poll_interval = 50; // ms
 
-/// What a purchase meets on its way.
+/// Result of sending a purchase.
 enum class delivery
 {
     answered,
@@ -151,7 +152,7 @@
     refused
 };
 
-/// One group in one data centre, its platform, and orderers that follow each other.
+/// One group in one data centre, its platform, and a succession of orderers.
 class purchases
 {
 public:
@@ -161,7 +162,8 @@
             .group = "wording", .data_centre = "dc-1", .least = least, .most = least};
     }
 
-    /// The orderer looks once; what it sends meets `way` and acts `delay` later.
+    /// One step of the orderer. What it sends has the result `fate` and takes effect
+    /// `delay` later.
     void poll(delivery fate, std::int64_t delay)
     {
         auto const         listed = list();
@@ -194,7 +196,8 @@
         now_ += poll_interval;
     }
 
-    /// Another orderer takes over; it knows the open orders and nothing of their sending.
+    /// Another orderer takes over. It knows the open orders, but not whether they were
+    /// sent.
     void take_over()
     {
         ++epoch_;
@@ -272,7 +275,7 @@
     std::vector<std::pair<std::string, std::int64_t>> bought_; // id, time of effect
 };
 
-RC_GTEST_PROP(order_property, nothing_is_bought_twice_nor_forgotten, ())
+RC_GTEST_PROP(order_property, nothing_is_bought_twice_or_missed, ())
 {
     auto const least = *rc::gen::inRange<std::int64_t>(1, 4);
     purchases  world(least, *rc::gen::inRange<std::int64_t>(0, longest_lag + 1));
--- a/tests/property/quota_property_test.cpp
+++ b/tests/property/quota_property_test.cpp
@@ -1,4 +1,5 @@
-// The bound on what runs of a workspace in any window, over histories of a fleet.
+// Tests the bound on a workspace's units in any window, over simulated fleets with
+// faults.
 #include "quota_replay.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 namespace
 {
 
-/// A workspace that sends many times its quota for a while.
+/// A workspace that sends many times its quota for some time.
 quota_load any_load()
 {
     quota_load load;
@@ -40,21 +41,21 @@
     RC_ASSERT(play_homes(load, trouble, seed).overrun <= 1.0);
 }
 
-RC_GTEST_PROP(quota_property, no_window_holds_more_than_is_tolerated, ())
+RC_GTEST_PROP(quota_property, no_window_exceeds_the_tolerance, ())
 {
     expect_bound(any_load(), any_fleet());
 }
 
-// The VM that keeps the bucket loses power while the workspace sends the most.
-RC_GTEST_PROP(quota_property, bound_holds_while_the_home_is_lost, ())
+// The VM that owns the bucket loses power, possibly at the workspace's peak.
+RC_GTEST_PROP(quota_property, bound_holds_after_the_loss_of_the_owner, ())
 {
     auto trouble = any_fleet();
     trouble.home_lost = millis{*rc::gen::inRange(1000, 18'000)};
     expect_bound(any_load(), trouble);
 }
 
-// Both sides of a cut have a home.
-RC_GTEST_PROP(quota_property, bound_holds_through_a_cut, ())
+// Both sides of a network partition have an owner.
+RC_GTEST_PROP(quota_property, bound_holds_through_a_network_partition, ())
 {
     auto trouble = any_fleet();
     trouble.cut_begin = millis{*rc::gen::inRange(1000, 15'000)};
@@ -62,7 +63,7 @@
     expect_bound(any_load(), trouble);
 }
 
-// All VMs forget what they have granted.
+// All VMs lose power and with it the record of what they have granted.
 RC_GTEST_PROP(quota_property, bound_holds_when_all_vms_lose_power, ())
 {
     auto trouble = any_fleet();
@@ -70,8 +71,8 @@
     expect_bound(any_load(), trouble);
 }
 
-// Packets are lost, and VMs that ask get no answer in time.
-RC_GTEST_PROP(quota_property, bound_holds_when_questions_are_lost, ())
+// Packets are lost, and VMs that query the owner get no reply in time.
+RC_GTEST_PROP(quota_property, bound_holds_when_queries_are_lost, ())
 {
     auto trouble = any_fleet();
     trouble.lost_asks = 0.01 * *rc::gen::inRange(0, 4);
--- a/tests/property/read_model_property_test.cpp
+++ b/tests/property/read_model_property_test.cpp
@@ -1,6 +1,6 @@
-// What reads teach of engines.
+// Tests what the prefill model learns from prefills.
 //
-// Index: 1 made-up engines, 2 bounds, 3 changes
+// Index: 1 simulated engines, 2 bounds, 3 changes
 #include "policy/read_model.hpp"
 
 #include <gtest/gtest.h>
@@ -15,8 +15,8 @@
 
 struct simulated_engine
 {
-    double speed = 50;    // tokens a ms
-    double fixed_ms = 50; // besides
+    double speed = 50;    // tokens per ms
+    double fixed_ms = 50; // added to each prefill
 
     prefill_sample read(std::int64_t tokens, std::mt19937_64& random) const
     {
@@ -44,10 +44,10 @@
     return model.fixed_ms() + tokens / model.speed();
 }
 
-// 1. Made-up engines
+// 1. Simulated engines
 
-// A VM with some reads a second must know its engines within seconds, whatever they are.
-RC_GTEST_PROP(prefill_model, predicts_any_engine_after_some_seconds_of_reads, ())
+// A VM with several prefills a second must know the speed of any engine within seconds.
+RC_GTEST_PROP(prefill_model, predicts_any_engine_after_some_seconds_of_prefills, ())
 {
     simulated_engine const engine{
         .speed = *rc::gen::inRange(12, 300) * 1.0,
@@ -65,7 +65,7 @@
 
 // 2. Bounds
 
-// Lost answers, clocks and queues give samples of any size.
+// Lost responses, clock errors and queues produce samples of any size.
 RC_GTEST_PROP(prefill_model, never_leaves_its_bounds, ())
 {
     prefill_model               model;
@@ -85,7 +85,7 @@
 
 // 3. Changes
 
-TEST(prefill_model, follows_engines_that_turn_slow_and_back)
+TEST(prefill_model, follows_engines_that_become_slow_and_recover)
 {
     prefill_model          model;
     simulated_engine const healthy{.speed = 60, .fixed_ms = 90};
@@ -98,8 +98,8 @@
     EXPECT_NEAR(model.speed(), 60, 20);
 }
 
-// A queue that was known of says nothing about the engine.
-TEST(prefill_model, reads_that_were_expected_to_wait_dont_count)
+// The wait in a known queue is no property of the engine.
+TEST(prefill_model, prefills_with_an_expected_wait_dont_count)
 {
     prefill_model model;
     train(model, {.speed = 55, .fixed_ms = 60}, 150, 1);
--- a/tests/unit/relay_plan_test.cpp
+++ b/tests/unit/relay_plan_test.cpp
@@ -1,4 +1,4 @@
-// Whom the VMs of a large fleet listen to.
+// Tests the sources of digests and records of the VMs in fleets of different sizes.
 #include "policy/relay_plan.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// VMs of a fleet: in each data centre `small` ones and `large` ones.
+/// A fleet with `small` and `large` VMs in each data centre.
 std::set<vm_contact> fleet(int centres, int small, int large)
 {
     std::set<vm_contact> vms;
@@ -31,7 +31,7 @@
     return vms;
 }
 
-TEST(relay_plan, few_vms_hear_each_other)
+TEST(relay_plan, small_fleet_is_a_mesh)
 {
     auto const vms = fleet(3, 3, 0);
     for (auto const& own : vms)
@@ -43,10 +43,10 @@
     }
 }
 
-// A fleet of 84 in which each VM hears all others sends 46,000 digests a second and has
-// no time left for its callers. Only relays may hear many, and the large VMs are the
-// relays.
-TEST(relay_plan, members_hear_two_large_vms_of_their_own_data_centre)
+// In a mesh of 84 VMs each VM receives from all others; with 46,000 digests a second no
+// processor time is left for callers. Only relays may receive from many VMs, and the
+// large VMs are the relays.
+TEST(relay_plan, members_receive_from_two_large_vms_of_their_own_data_centre)
 {
     auto const                 vms = fleet(4, 19, 2);
     std::map<std::string, int> relays;
@@ -67,7 +67,7 @@
     }
 }
 
-/// The VMs that a plan for each of `vms` sends to the store.
+/// The VMs whose plan makes them read the store.
 std::vector<vm_contact> store_readers(std::set<vm_contact> const& vms)
 {
     std::vector<vm_contact> readers;
@@ -81,15 +81,15 @@
     return readers;
 }
 
-// A fleet in which one VM of each data centre reads the store makes calls that grow with
-// the data centres; they were the largest price of a fleet of 295.
+// If one VM of each data centre read the store, the requests would grow with the number
+// of data centres. In a fleet of 295 VMs they were the largest cost.
 TEST(relay_plan, one_vm_of_the_fleet_reads_the_store)
 {
     auto const vms = fleet(5, 57, 2);
     auto const readers = store_readers(vms);
     ASSERT_EQ(readers.size(), 1U);
     EXPECT_EQ(readers.front().capacity, 500);
-    std::set<std::string> asked_by_leads; // the reader, and the one that stands in for it
+    std::set<std::string> asked_by_leads; // the reader and its backup
     for (auto const& own : vms)
     {
         auto const plan = plan_relays(vms, own, {});
@@ -103,8 +103,8 @@
     EXPECT_EQ(asked_by_leads.count(readers.front().records), 1U);
 }
 
-// In fleets just small enough for a mesh every VM read the store for itself, and its
-// calls cost a third of what was served.
+// In fleets just small enough for a mesh, every VM read the store itself, and these
+// requests cost a third of what was served.
 TEST(relay_plan, one_vm_reads_the_store_at_any_size)
 {
     for (int vms_each = 1; vms_each <= 12; ++vms_each)
@@ -141,18 +141,18 @@
     }
 }
 
-// The reader is lost. Everybody must find records without asking in a circle, in which
-// each waits for the next.
-TEST(relay_plan, nobody_asks_a_vm_that_may_ask_it)
+// The VM that reads the store is lost. The queries for records must not form a cycle, in
+// which each VM waits for the next.
+TEST(relay_plan, queries_for_records_form_no_cycle)
 {
     expect_no_cycle(fleet(5, 10, 2));
     expect_no_cycle(fleet(3, 3, 0));
     expect_no_cycle(fleet(1, 2, 0));
 }
 
-// The relay that reads the store is lost. Its members know whom to ask next, and the
-// second relay doesn't wait for anybody who asks it.
-TEST(relay_plan, second_relay_asks_only_the_first)
+// The relay that reads the store is lost. Its members have a second relay to query, and
+// the second relay doesn't wait for a VM that queries it.
+TEST(relay_plan, second_relay_queries_only_the_first)
 {
     auto const vms = fleet(2, 40, 0);
     for (auto const& own : vms)
@@ -163,8 +163,8 @@
     }
 }
 
-// A VM that has just started isn't in the list that it has read. It must find its relays
-// all the same.
+// A VM that has just started isn't in the list that it has read. It must still find its
+// relays.
 TEST(relay_plan, vm_that_is_not_listed_yet_has_a_plan)
 {
     auto const vms = fleet(2, 12, 1);
@@ -177,9 +177,9 @@
     EXPECT_EQ(plan.digests.size(), 2U);
 }
 
-// A data centre of which only one VM is left: it is its own relay, and still one VM of
-// the fleet reads the store.
-TEST(relay_plan, lone_vm_of_a_data_centre_is_a_relay)
+// The only VM left in a data centre is its own relay, and still only one VM of the fleet
+// reads the store.
+TEST(relay_plan, only_vm_of_a_data_centre_is_a_relay)
 {
     auto       vms = fleet(1, 20, 0);
     vm_contact own{.digests = "10.9.0.1:7780",
