--- a/src/policy/fleet_plan.hpp
+++ b/src/policy/fleet_plan.hpp
@@ -44,10 +44,8 @@
     // 16    divisor of a data centre's maximum: one server in 16 is always at full price.
     //       These servers remain when the platform reclaims the cheap ones
     std::int64_t full_price_divisor = 16;
-    // 2     divisor of a data centre's maximum: while cheap servers are unavailable
-    // there,
-    //       its minimum at full price is its share of the demand, but at most one server
-    //       in 2
+    // 2     divisor of a data centre's maximum: without cheap servers there, its minimum
+    //       at full price is its share of the demand, but at most one server in 2
     std::int64_t full_price_divisor_without_cheap = 2;
     // 10000 ms; cheap servers count as unavailable for this long after a refused order
     millis cheap_backoff{10000};
--- a/src/policy/prefix_directory.hpp
+++ b/src/policy/prefix_directory.hpp
@@ -1,8 +1,7 @@
 // Directory of the prompt parts that engines hold in their KV caches.
 //
-// Index: 1 prefix_news, 2 prefix_news_by_source, 3 cached_tokens, 4
-// prefix_directory_options,
-//        5 prefix_directory
+// Index: 1 prefix_news, 2 prefix_news_by_source, 3 cached_tokens,
+//        4 prefix_directory_options, 5 prefix_directory
 //
 // Prompts share parts of thousands of tokens. The prefill of such a part takes an engine
 // a quarter of a second; a cache hit takes almost no time. An engine caches a part until
