--- a/src/policy/role_planner.cpp
+++ b/src/policy/role_planner.cpp
@@ -1,4 +1,4 @@
-// Role control.
+// Number of prefill engines, their choice, and orders for changes of role.
 #include "policy/role_planner.hpp"
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 constexpr std::int64_t percent = 100;
 constexpr std::int64_t milli = 1'000;
 constexpr std::int64_t micros_per_second = 1'000'000;
-constexpr std::int64_t pressed_percent = 100; // of the engines needed: short of them
+constexpr std::int64_t shortage_percent = 100; // need, % of the engines, for a shortage
 
-/// Thousandths of an engine that decode `output_tokens` a second in full batches.
+/// Thousandths of an engine that decode `output_tokens` per second in full batches.
 std::int64_t decode_need(std::int64_t output_tokens, engine_speed const& speed)
 {
     auto const token_us = speed.step_us / speed.batch + speed.stream_us;
@@ -40,10 +40,10 @@
 {
 }
 
-// 1. How many engines
+// 1. Number of prefill engines
 
-/// More prefill engines at once; fewer only after the need stayed low for the smoothing
-/// time, since a swing back is as likely as not.
+/// Raises the number of prefill engines at once. Lowers it only after the need has stayed
+/// low for the smoothing time, because a swing back is as likely as not.
 std::int64_t role_planner::plan_prefill(engine_role_plan& plan, role_demand const& demand,
                                         std::int64_t usable)
 {
@@ -81,10 +81,11 @@
     return std::min(prefill_engines_, std::max<std::int64_t>(0, usable - 1));
 }
 
-// 2. Which engines
+// 2. Choice of engines
 
-/// Engines that already have the role come first, then those already so used, then the
-/// emptiest: the fewest streams see a change of use.
+/// Prefers engines that already have the prefill role, then those already used for
+/// prefill, then those with the fewest streams, so that a change of use affects as few
+/// streams as possible.
 void role_planner::assign_uses(engine_role_plan&               plan,
                                std::vector<role_engine> const& engines)
 {
@@ -118,16 +119,17 @@
     }
 }
 
-// 3. Which orders
+// 3. Orders
 
-/// An unfit role loses the whole engine, a mixed one the gain of the fitting role; what
-/// is lost counts only while the group is short of engines.
+/// Adds up the service lost without a change. An engine in the wrong role loses all of
+/// its service. A mixed engine loses the gain of the fitting role, which counts only
+/// while the group is short of engines.
 void role_planner::order_roles(engine_role_plan&               plan,
                                std::vector<role_engine> const& engines, millis since)
 {
     auto const usable = static_cast<std::int64_t>(engines.size());
-    bool const pressed = (plan.prefill_milli + plan.decode_milli) * percent >
-                         usable * milli * pressed_percent;
+    bool const short_of_engines = (plan.prefill_milli + plan.decode_milli) * percent >
+                                  usable * milli * shortage_percent;
     while (!ordered_.empty() &&
            now_ - ordered_.front() > millis{options_.orders_window_ms})
     {
@@ -149,17 +151,17 @@
         }
         auto const fitting = role_for(wish.use);
         bool const unfit = role != engine_role::mixed && role != fitting;
-        auto const loss = unfit                        ? percent
-                          : pressed && role != fitting ? options_.gain_percent
-                                                       : -options_.gain_percent;
+        auto const loss = unfit                                 ? percent
+                          : short_of_engines && role != fitting ? options_.gain_percent
+                                                                : -options_.gain_percent;
         memory.regret_ms =
             std::max<std::int64_t>(0, memory.regret_ms + since.count() * loss / percent);
         wish.regret_ms = memory.regret_ms;
         bool const due =
             memory.regret_ms * percent >= options_.change_ms * options_.regret_percent;
         bool const budget =
-            static_cast<std::int64_t>(ordered_.size()) < options_.most_orders;
-        if (due && budget && changing < options_.most_changing)
+            static_cast<std::int64_t>(ordered_.size()) < options_.max_orders;
+        if (due && budget && changing < options_.max_changing)
         {
             ordered_.push_back(now_);
             wish.role = unfit ? engine_role::mixed : fitting;
--- a/src/policy/wanted_state.cpp
+++ b/src/policy/wanted_state.cpp
@@ -1,4 +1,4 @@
-// Which order comes next.
+// Choice of the next order.
 #include "policy/wanted_state.hpp"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
                          [&](role_view const& engine) { return engine.role == role; });
 }
 
-/// The first engine in that role, by id, so that every controller picks the same one.
+/// The engine in that role with the lowest id, so that every controller chooses the same.
 std::optional<std::string> first_in_role(std::vector<role_view> const& engines,
                                          engine_role                   role)
 {
@@ -31,9 +31,10 @@
     return first;
 }
 
-/// An engine that can be spared for `wanted`: a mixed one, else one beyond its own plan.
-std::optional<std::string> donor(std::vector<role_view> const& engines, engine_role other,
-                                 bool other_has_surplus)
+/// An engine that can take a new role: a mixed one, else one of the `other` role if that
+/// role has more engines than planned.
+std::optional<std::string> spare_engine(std::vector<role_view> const& engines,
+                                        engine_role other, bool other_has_surplus)
 {
     auto const mixed = first_in_role(engines, engine_role::mixed);
     return mixed || !other_has_surplus ? mixed : first_in_role(engines, other);
@@ -61,12 +62,12 @@
     if (prefill < plan.prefill)
     {
         role = engine_role::prefill;
-        chosen = donor(engines, engine_role::decode, decode > plan.decode);
+        chosen = spare_engine(engines, engine_role::decode, decode > plan.decode);
     }
     if (!chosen && decode < plan.decode)
     {
         role = engine_role::decode;
-        chosen = donor(engines, engine_role::prefill, prefill > plan.prefill);
+        chosen = spare_engine(engines, engine_role::prefill, prefill > plan.prefill);
     }
     if (!chosen && (prefill > plan.prefill || decode > plan.decode))
     {
--- a/tests/property/load_relay_property_test.cpp
+++ b/tests/property/load_relay_property_test.cpp
@@ -1,4 +1,4 @@
-// Sums of work over relays: each VM's work counts once, whoever passes it on.
+// Tests sums of work over relays: the work of each VM counts once on every path.
 #include "policy/load_relay.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
     return boot_clock::time_point{millis{value}};
 }
 
-struct played_vm
+struct simulated_vm
 {
     vm_contact contact;
     relay_plan plan;
@@ -24,7 +24,7 @@
     vm_work    own;
 };
 
-std::vector<played_vm> play_fleet(int centres, int vms_each)
+std::vector<simulated_vm> make_fleet(int centres, int vms_each)
 {
     std::set<vm_contact> contacts;
     for (int index = 0; index < centres * vms_each; ++index)
@@ -32,10 +32,10 @@
         contacts.insert({.digests = "vm-" + std::to_string(index),
                          .data_centre = "centre-" + std::to_string(index % centres)});
     }
-    std::vector<played_vm> vms;
+    std::vector<simulated_vm> vms;
     for (auto const& contact : contacts)
     {
-        played_vm vm{.contact = contact};
+        simulated_vm vm{.contact = contact};
         vm.plan = plan_relays(contacts, contact, {.mesh = 8});
         vm.relay.follow(vm.plan, contact.digests, contact.data_centre);
         vms.push_back(std::move(vm));
@@ -43,29 +43,29 @@
     return vms;
 }
 
-/// Each VM publishes in turn, and whoever follows it hears it at once.
-void exchange(std::vector<played_vm>& vms, boot_clock::time_point now)
+/// Each VM publishes in turn, and the VMs that receive from it do so at once.
+void publish_all(std::vector<simulated_vm>& vms, boot_clock::time_point now)
 {
     for (auto& sender : vms)
     {
         for (auto const& digest : sender.relay.digests(sender.own, now))
         {
-            for (auto& hearer : vms)
+            for (auto& receiver : vms)
             {
-                if (hearer.plan.digests.count(sender.contact.digests) > 0)
+                if (receiver.plan.digests.count(sender.contact.digests) > 0)
                 {
-                    hearer.relay.absorb(digest, now);
+                    receiver.relay.absorb(digest, now);
                 }
             }
         }
     }
 }
 
-// If a VM's work were counted twice, by both relays of its data centre, engines would
-// look full that are free, and callers would be refused.
+// If both relays of a data centre counted a VM's work, free engines would look full and
+// callers would be refused.
 RC_GTEST_PROP(load_relay, steady_work_of_all_others_is_counted_once_everywhere, ())
 {
-    auto         vms = play_fleet(*rc::gen::inRange(1, 5), *rc::gen::inRange(1, 9));
+    auto         vms = make_fleet(*rc::gen::inRange(1, 5), *rc::gen::inRange(1, 9));
     std::int64_t total = 0;
     for (auto& vm : vms)
     {
@@ -75,10 +75,10 @@
         vm.own.demands["models"].prompt_rate = running * 500.0;
         total += running;
     }
-    constexpr int rounds = 5; // a sum takes three digests to come round
+    constexpr int rounds = 5; // a sum needs three digests to reach all VMs
     for (int round = 0; round < rounds; ++round)
     {
-        exchange(vms, at_ms(1000 + 150 * round));
+        publish_all(vms, at_ms(1000 + 150 * round));
     }
     auto const now = at_ms(1000 + 150 * rounds);
     for (auto const& vm : vms)
@@ -91,22 +91,22 @@
     }
 }
 
-// A relay dies. Its members hear the other one, and what the dead one told is forgotten
-// rather than added up.
-TEST(load_relay, members_go_on_with_the_other_relay)
+// A relay fails. Its members receive from the other one, and the failed relay's sums are
+// dropped instead of being added.
+TEST(load_relay, members_continue_with_the_other_relay)
 {
-    auto vms = play_fleet(2, 8);
+    auto vms = make_fleet(2, 8);
     for (auto& vm : vms)
     {
         vm.own.loads["engine"].running = 1;
     }
-    exchange(vms, at_ms(1000));
+    publish_all(vms, at_ms(1000));
     auto const dead = std::find_if(vms.begin(), vms.end(),
-                                   [](played_vm const& vm) { return vm.plan.relay; });
+                                   [](simulated_vm const& vm) { return vm.plan.relay; });
     vms.erase(dead);
     for (int round = 0; round < 12; ++round)
     {
-        exchange(vms, at_ms(1150 + 150 * round));
+        publish_all(vms, at_ms(1150 + 150 * round));
     }
     for (auto const& vm : vms)
     {
@@ -114,18 +114,18 @@
     }
 }
 
-// All relays of a data centre fall silent. Old sums must not steer calls for ever.
-TEST(load_relay, sums_that_are_not_renewed_are_forgotten)
+// All relays of a data centre stop publishing. Old sums must not affect routing for ever.
+TEST(load_relay, sums_without_updates_expire)
 {
-    auto vms = play_fleet(1, 12);
+    auto vms = make_fleet(1, 12);
     for (auto& vm : vms)
     {
         vm.own.loads["engine"].running = 1;
     }
-    exchange(vms, at_ms(1000));
-    exchange(vms, at_ms(1150));
-    auto const member = std::find_if(vms.begin(), vms.end(),
-                                     [](played_vm const& vm) { return !vm.plan.relay; });
+    publish_all(vms, at_ms(1000));
+    publish_all(vms, at_ms(1150));
+    auto const member = std::find_if(
+        vms.begin(), vms.end(), [](simulated_vm const& vm) { return !vm.plan.relay; });
     ASSERT_NE(member, vms.end());
     EXPECT_EQ(member->relay.at("engine", at_ms(1200)).running, 11);
     EXPECT_EQ(member->relay.at("engine", at_ms(2500)).running, 0);
--- a/tests/property/order_property_test.cpp
+++ b/tests/property/order_property_test.cpp
@@ -1,5 +1,6 @@
-// Orders: the fold under any interleaving, and purchases against a platform that loses
-// answers, acts late and shows a list that lags, with orderers that die in between.
+// Tests the fold of orders under any interleaving, and purchases from a platform that
+// loses responses, acts late and shows a list that lags, with orderers that fail
+// meanwhile.
 //
 // Index: 1 fold, 2 purchases
 #include "ledger/ledger.hpp"
@@ -21,7 +22,7 @@
 
 // 1. Fold
 
-/// Records that any process might append, by the state at some earlier moment.
+/// Records that any process may append, based on its state at some earlier time.
 class order_records
 {
 public:
@@ -36,7 +37,7 @@
         add(record);
     }
 
-    /// An intent under the epoch that `who` had last, which may be over.
+    /// Appends an intent under the last epoch of `who`, which may have ended.
     void intend(int who, int target, int id)
     {
         wire::log_record record;
@@ -105,10 +106,10 @@
 RC_GTEST_PROP(order_property, only_the_current_epoch_opens_and_closes_orders, ())
 {
     order_records world;
-    auto const story = *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
+    auto const steps = *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
         rc::gen::tuple(rc::gen::inRange(0, 5), rc::gen::inRange(0, 3),
                        rc::gen::inRange(0, 3), rc::gen::inRange(0, 12)));
-    for (auto const& [what, who, target, id] : story)
+    for (auto const& [what, who, target, id] : steps)
     {
         if (what == 0)
         {
@@ -129,7 +130,7 @@
         other.apply(index + 1, world.log[index]);
     }
     RC_ASSERT(other == world.fold());
-    // A fold restored from a snapshot equals the one that was saved.
+    // A fold restored from a snapshot equals the saved one.
     wire::order_state_snapshot snapshot;
     other.orders().save(snapshot);
     RC_ASSERT(order_fold::restored(snapshot) == other.orders());
@@ -137,13 +138,13 @@
 
 // 2. Purchases
 
-constexpr std::int64_t longest_lag = 300;   // of the list, ms
-constexpr std::int64_t longest_delay = 300; // of the platform's own doing, ms
+constexpr std::int64_t longest_lag = 300;   // of the platform's list, ms
+constexpr std::int64_t longest_delay = 300; // of a purchase's effect, ms
 constexpr millis       settle_limit{1000};
-constexpr std::int64_t look_every = 50; // ms
+constexpr std::int64_t poll_interval = 50; // ms
 
-/// What a purchase meets on its way.
-enum class passage
+/// Result of sending a purchase.
+enum class delivery
 {
     answered,
     answer_lost,
@@ -151,7 +152,7 @@
     refused
 };
 
-/// One group in one data centre, its platform, and orderers that follow each other.
+/// One group in one data centre, its platform, and a succession of orderers.
 class purchases
 {
 public:
@@ -161,8 +162,9 @@
             .group = "wording", .data_centre = "dc-1", .least = least, .most = least};
     }
 
-    /// The orderer looks once; what it sends meets `way` and acts `delay` later.
-    void look(passage way, std::int64_t delay)
+    /// One step of the orderer. What it sends has the result `fate` and takes effect
+    /// `delay` later.
+    void poll(delivery fate, std::int64_t delay)
     {
         auto const         listed = list();
         std::vector<order> open;
@@ -172,7 +174,7 @@
                 settle_vm(at->wanted, at->id, progress_of(*at), listed, true);
             if (step == order_step::send)
             {
-                send(*at, way, delay);
+                send(*at, fate, delay);
             }
             bool const closed =
                 step == order_step::close_done || step == order_step::close_abandoned;
@@ -191,14 +193,15 @@
             open_.push_back({"order-" + std::to_string(++ids_), *wanted, epoch_, now_,
                              order_sending::not_sent});
         }
-        now_ += look_every;
+        now_ += poll_interval;
     }
 
-    /// Another orderer takes over; it knows the open orders and nothing of their sending.
-    void succeed()
+    /// Another orderer takes over. It knows the open orders, but not whether they were
+    /// sent.
+    void take_over()
     {
         ++epoch_;
-        now_ += look_every;
+        now_ += poll_interval;
         for (auto& entry : open_)
         {
             entry.seen_at = now_;
@@ -253,11 +256,11 @@
                 .settle_limit = settle_limit};
     }
 
-    void send(purchase& own, passage way, std::int64_t delay)
+    void send(purchase& own, delivery fate, std::int64_t delay)
     {
-        own.sending = way == passage::refused ? order_sending::without_effect
-                                              : order_sending::may_have_effect;
-        if (way == passage::answered || way == passage::answer_lost)
+        own.sending = fate == delivery::refused ? order_sending::without_effect
+                                                : order_sending::may_have_effect;
+        if (fate == delivery::answered || fate == delivery::answer_lost)
         {
             bought_.emplace_back(own.id, now_ + delay);
         }
@@ -272,28 +275,29 @@
     std::vector<std::pair<std::string, std::int64_t>> bought_; // id, time of effect
 };
 
-RC_GTEST_PROP(order_property, nothing_is_bought_twice_nor_forgotten, ())
+RC_GTEST_PROP(order_property, nothing_is_bought_twice_or_missed, ())
 {
     auto const least = *rc::gen::inRange<std::int64_t>(1, 4);
     purchases  world(least, *rc::gen::inRange<std::int64_t>(0, longest_lag + 1));
-    auto const story = *rc::gen::container<std::vector<std::tuple<int, std::int64_t>>>(
+    auto const steps = *rc::gen::container<std::vector<std::tuple<int, std::int64_t>>>(
         rc::gen::tuple(rc::gen::inRange(0, 8),
                        rc::gen::inRange<std::int64_t>(0, longest_delay + 1)));
-    for (auto const& [what, delay] : story)
+    for (auto const& [what, delay] : steps)
     {
         if (what == 7)
         {
-            world.succeed();
+            world.take_over();
         }
         else
         {
-            world.look(what < 4 ? static_cast<passage>(what) : passage::answered, delay);
+            world.poll(what < 4 ? static_cast<delivery>(what) : delivery::answered,
+                       delay);
         }
         RC_ASSERT(world.servers() <= least);
     }
     for (int round = 0; round < 300; ++round)
     {
-        world.look(passage::answered, 0);
+        world.poll(delivery::answered, 0);
     }
     RC_ASSERT(world.servers() == least);
 }
