--- a/src/serving/call_admission.cpp
+++ b/src/serving/call_admission.cpp
@@ -1,4 +1,4 @@
-// Route, key, content, time.
+// Checks of a call on arrival: rules, route, API key and poison content.
 #include "serving/call_admission.hpp"
 
 #include <algorithm>
@@ -12,11 +12,12 @@
 // 5000 ms; a request that has crashed two servers isn't run again, but its caller may
 //      have changed it by then
 constexpr millis poison_pause{5000};
-// 60000 ms; for callers that state no patience
+// 60000 ms; deadline of calls that state none
 constexpr millis unstated_patience{60000};
 
-/// Failure guarded against: a withdrawn key that goes on working at a VM which can't
-/// reach the store. Once its knowledge is too old, the VM refuses keyed calls as not run.
+/// Checks the call's API key. While a VM can't reach the store, it doesn't hear of
+/// withdrawn keys; once its rules are too old, it refuses every call that needs a key as
+/// not run.
 std::optional<own_reply> check_key(caller_call const& call, bool fresh,
                                    admitted_call& admitted)
 {
--- a/src/serving/call_admission.hpp
+++ b/src/serving/call_admission.hpp
@@ -1,6 +1,6 @@
-// Whether a call is let in, from rules, key and what is known of its content.
+// Decides whether a call is admitted, by rules, API key, content, and age of the rules.
 //
-// Index: 1 admitted_call, 2 admit_call, 3 soon
+// Index: 1 admitted_call, 2 admit_call, 3 refusal_retry_after
 #ifndef MARIGOLDCRANK_SERVING_CALL_ADMISSION_HPP
 #define MARIGOLDCRANK_SERVING_CALL_ADMISSION_HPP
 
@@ -14,25 +14,27 @@
 namespace marigoldcrank
 {
 
-// 300  ms; a refused caller comes back once a short disturbance is over
+// 300  ms; Retry-After of refusals whose cause is expected to pass soon
 constexpr millis soon{300};
 
-/// What the rules in force at its arrival say of a call. The pointers lead into `rules`,
-/// which stay alive with it.
+/// What the rules in force at its arrival say about a call. The pointers lead into
+/// `rules`, which this struct keeps alive.
 struct admitted_call
 {
     std::shared_ptr<serving_rules const> rules;
     route const*                         matched = nullptr;
-    service const*   target = nullptr; // null: the rules don't describe it
-    workspace const* owner = nullptr;  // null: the call bears no key
+    service const*   target = nullptr; // null: the rules don't describe the service
+    workspace const* owner = nullptr;  // null: the call carries no valid key
     std::string      service_name;
-    std::string      content;            // hash of path, caller and body
-    std::int64_t     rank = 0;           // most urgent first
-    bool             repeatable = false; // may run more than once
-    loop_time        deadline{};         // of the final answer
+    std::string  content;  // hash of path, caller and body; identifies crashing requests
+    std::int64_t rank = 0; // place in the order of urgency, most urgent first
+    bool         repeatable = false; // the call may run more than once
+    loop_time    deadline{};         // of the final response
 };
 
-/// Fills `admitted` as far as the call gets; the refusal if it isn't let in.
+/// Checks rules, route, key and content in this order, and fills `admitted` up to the
+/// first check that fails. Returns the refusal, or nothing if the call is admitted. An
+/// admitted call is counted into its service's retry budget.
 std::optional<own_reply> admit_call(entry_state& state, caller_call const& call,
                                     std::string const&     body,
                                     boot_clock::time_point arrived,
--- a/src/serving/call_notes.cpp
+++ b/src/serving/call_notes.cpp
@@ -1,4 +1,4 @@
-// Lines of a call.
+// Log lines and counters of a call, and their fields.
 #include "serving/call_notes.hpp"
 
 #include <cmath>
--- a/src/serving/call_notes.hpp
+++ b/src/serving/call_notes.hpp
@@ -1,4 +1,4 @@
-// Log lines and counters of one call.
+// Writes the log lines and counters of one call.
 //
 // Index: 1 call_end, 2 send_failure, 3 send_step, 4 call_notes
 #ifndef MARIGOLDCRANK_SERVING_CALL_NOTES_HPP
@@ -16,50 +16,53 @@
 namespace marigoldcrank
 {
 
-/// How a call ended.
+/// How a call ended, for its last log line.
 struct call_end
 {
-    std::string_view outcome; // one word
+    std::string_view outcome; // "served", or the reason in one word
     unsigned         status = 0;
     std::int64_t     runs = 0;
-    std::string_view fault;  // the last one before the end
-    std::string_view server; // the last one that was to run it
+    std::string_view fault;  // why the last failed attempt failed
+    std::string_view server; // the last server that the call was sent to, to be run
     stream_pace      pace;
 };
 
-/// What is known of a failed send.
+/// What is known about a failed attempt.
 struct send_failure
 {
-    std::string_view event; // the line's own name
+    std::string_view event; // name of the log line
     std::string_view server;
     exchange_fate    fate = exchange_fate::unknown;
     std::string_view fault;
     unsigned         status = 0;
 };
 
-/// What one send to a server is for, and what was expected of it.
+/// What an attempt is for, and the work that was expected from it.
 struct send_step
 {
     std::string_view server;
-    std::string_view work;    // "call", "prompt" or "run": with a prompt read elsewhere
-    std::int64_t     run = 0; // number of the run of this call
-    placement        planned; // tokens to be read there, and the time that takes
+    std::string_view
+        work; // "call", "prompt" (prefill only) or "run" (decode after a handoff)
+    std::int64_t run = 0; // attempts to run this call before this one
+    placement    planned; // tokens to prefill there, and the expected times
 };
 
+/// Lives as long as its call.
 class call_notes
 {
 public:
     call_notes(entry_state& state, std::string const& id, boot_clock::time_point arrived);
 
-    /// A step, written for sampled calls.
+    /// Logs the start of an attempt, for sampled calls only.
     void sent(send_step const& step, admitted_call const& admitted);
 
+    /// Logs and counts a failed attempt.
     void failed(send_failure const& failure);
 
-    /// A call of this content may have crashed its server.
+    /// Logs that a call with this content may have crashed its server.
     void suspected(std::string const& content, std::string const& server);
 
-    /// The call's one final line.
+    /// Logs and counts the end of the call. Served calls are logged only if sampled.
     void ended(call_end const& end, admitted_call const& admitted);
 
 private:
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -1,10 +1,10 @@
-// The serving of one call: from its head to its one final answer.
+// Serves one call: admits and places it, sends it to servers, relays the response.
 //
-// Index: 1 link_after, 2 call_runner: plain calls, streams, prompts, sends, ends
+// Index: 1 link_after, 2 call_runner: plain calls, streams, prefill, attempts, ends
 //
-// A call that may not be repeated is sent again only after a server has said that it did
-// not run it, or if no byte of it has left. 503 is said only if that holds for all its
-// sends; else 502, or 504 once its time is over.
+// A call that may not be repeated is sent again only if the server has stated that it did
+// not run it, or if no byte of it was sent. The caller gets 503 only if that holds for
+// every attempt; else it gets 502, or 504 once the deadline has passed.
 #ifndef MARIGOLDCRANK_SERVING_CALL_RUNNER_HPP
 #define MARIGOLDCRANK_SERVING_CALL_RUNNER_HPP
 
@@ -23,14 +23,15 @@
 namespace marigoldcrank
 {
 
-/// How the connection goes on after a call.
+/// What happens to the caller's connection after a call.
 enum class link_after
 {
     keep,
-    close,  // in order
-    aborted // already ended
+    close,  // gracefully: the response is delivered first
+    aborted // it has been closed or reset already
 };
 
+/// Serves one call on the connection that it came in over.
 template <wire_dialect Dialect>
 class call_runner
 {
@@ -45,7 +46,7 @@
     {
     }
 
-    /// Serves the call; gives its final answer unless the caller has left.
+    /// Serves the call and sends its final response, unless the caller has disconnected.
     boost::asio::awaitable<link_after> run()
     {
         ++state_.calls_in_work;
@@ -83,7 +84,7 @@
 private:
     using exchange = server_exchange<Dialect>;
 
-    /// Marks the exchange that ends if the caller leaves.
+    /// Sets the exchange that is aborted when the caller disconnects, for its lifetime.
     struct in_use
     {
         in_use(call_runner& owner, exchange& link) : runner(owner)
@@ -103,7 +104,7 @@
     };
 
     static constexpr unsigned first_server_error = 500;
-    // 2000  ms; a caller's connection that takes no answer for so long is given up
+    // 2000  ms; a caller that doesn't take a response for this long is disconnected
     static constexpr millis write_time{2000};
 
     // Kinds of calls
@@ -154,7 +155,7 @@
         }
     }
 
-    /// An answer in one piece. False if another server should be tried.
+    /// Relays a response as a whole. Returns false if another server should be tried.
     boost::asio::awaitable<bool> relay_plain(exchange& link)
     {
         std::string body;
@@ -181,8 +182,7 @@
             co_await answer(std::move(bytes), status);
             co_return true;
         }
-        // A server's own failure is kept: it is the answer if no other server does
-        // better.
+        // The server's own failure is the response if no other server serves the call.
         sends_.settle_failure(result_of(link, exchange_fate::answered));
         kept_failure_ = std::move(bytes);
         kept_status_ = status;
@@ -214,7 +214,7 @@
                 own_reply const refusal{503, call_fate::not_run, "queue", back};
                 co_return co_await reply(refusal);
             }
-            auto           decode = *first->server; // copies: the list changes meanwhile
+            auto decode = *first->server; // copies: the server list may change during I/O
             backend_server reader;
             std::string    source;
             auto           planned = *first;
@@ -224,7 +224,7 @@
                 prefilled_ = true;
                 reader = decode;
                 source = co_await read_prompt(reader, planned);
-                // The servers that it points to may be gone by now.
+                // The plan points to servers that may have been removed meanwhile.
                 planned = placement{.unread = source.empty() ? planned.unread : 0};
                 if (!caller_.has_left() && !choose_decode(decode))
                 {
@@ -244,7 +244,8 @@
         }
     }
 
-    /// Where the call runs after its prompt was read, or couldn't be. False: nowhere.
+    /// Chooses the engine that runs the call after its prefill, also after a failed one.
+    /// Returns false if there is none.
     bool choose_decode(backend_server& decode)
     {
         if (!sends_.may_run_after_read())
@@ -260,8 +261,8 @@
         return server != nullptr;
     }
 
-    /// Has a prefill engine read the prompt. Gives where its cache lies; empty if
-    /// nowhere.
+    /// Runs the prefill at `server`. Returns where the KV cache is (ADDRESS/HANDLE), or
+    /// an empty string if the prefill failed.
     boost::asio::awaitable<std::string> read_prompt(backend_server server,
                                                     placement      placed)
     {
@@ -297,7 +298,8 @@
         co_return address_of(&server) + "/" + *handle;
     }
 
-    /// Runs the call at `server`. True if its final answer has been given.
+    /// Runs the call at `server`. Returns true if the call has ended, false if another
+    /// server should be tried.
     boost::asio::awaitable<bool> run_stream(backend_server     server,
                                             std::string const& source, placement planned)
     {
@@ -336,7 +338,7 @@
         co_return co_await relay_events(link);
     }
 
-    /// Passes whole events on as they arrive.
+    /// Relays complete events as they arrive.
     boost::asio::awaitable<bool> relay_events(exchange& link)
     {
         std::string bytes;
@@ -369,7 +371,7 @@
         co_return false;
     }
 
-    /// Writes what has become whole. False: the caller is gone.
+    /// Writes the events that `bytes` completes. Returns false if the write fails.
     boost::asio::awaitable<bool> pass_on(exchange& link, std::string const& bytes,
                                          bool whole)
     {
@@ -394,7 +396,8 @@
         co_return co_await caller_.write(out, admitted_.deadline);
     }
 
-    /// How long the engine took tells of reading or of taking over what another one read.
+    /// Records the time to the first event, as a colocated prefill or as a handoff.
+    /// Retries and mixed cases are left out.
     void learn_from_first_event()
     {
         auto const took = boot_clock::now() - run_sent_;
@@ -421,7 +424,7 @@
         after_ = keep_ && knows_chunks(request_) ? link_after::keep : link_after::close;
     }
 
-    /// Ends a stream that can't go on, so that it doesn't look whole.
+    /// Resets a stream that can't continue, so that it doesn't appear to be complete.
     boost::asio::awaitable<bool> break_off(std::string_view cause)
     {
         end_ = "broken_off";
@@ -437,7 +440,7 @@
         return request.version() >= http_1_1;
     }
 
-    // Sends
+    // Attempts
 
     onward_call onward(backend_server const& server) const
     {
@@ -449,8 +452,8 @@
                 .resume_after = stream_.last_event()};
     }
 
-    /// Sends the call to be run; `source` is where its prompt's cache lies, if it was
-    /// read.
+    /// Sends the call to be run. `source` is where the KV cache of its prompt is; empty
+    /// if no other engine has prefilled it.
     boost::asio::awaitable<exchange_fate>
     run_at(exchange& link, std::string const& source, loop_time until)
     {
@@ -493,7 +496,7 @@
         }
     }
 
-    /// Frees a cached prompt that won't be fetched; `source` is empty if there is none.
+    /// Releases a KV cache that won't be fetched; `source` is empty if there is none.
     void release(backend_server const& server, std::string const& source)
     {
         auto const slash = source.find('/');
@@ -507,7 +510,8 @@
 
     // Ends
 
-    /// No send is left: the refusal or failure that is true.
+    /// Ends a call that no further attempt is allowed for: with a server's own failure if
+    /// there is one, else with 502 or 504 if the call may have run, else with 503.
     boost::asio::awaitable<void> give_up()
     {
         if (stream_.started())
@@ -593,11 +597,11 @@
     bool                   prefilled_ = false;
     bool                   counted_ = false;
     quota_hold             held_;
-    std::string            kept_failure_; // a server's own, in bytes
+    std::string            kept_failure_; // a server's own failure, as formatted bytes
     unsigned               kept_status_ = 0;
     boot_clock::time_point run_sent_{};
-    placement              run_planned_; // of the newest run; only its figures are used
-    std::string      fetch_from_; // address of the engine that keeps its shared parts
+    placement              run_planned_; // of the latest attempt; its pointers may dangle
+    std::string fetch_from_; // address of an engine that has parts of the prompt cached
     std::string_view end_;
     unsigned         status_ = 0;
     exchange*        current_ = nullptr;
--- a/src/serving/call_sends.cpp
+++ b/src/serving/call_sends.cpp
@@ -1,4 +1,4 @@
-// Sends, their terms and their outcomes.
+// Conditions and results of the attempts of a call.
 #include "serving/call_sends.hpp"
 
 namespace marigoldcrank
@@ -7,7 +7,7 @@
 namespace
 {
 
-// 20  ms; with less left no server can answer in time
+// 20  ms; with less time left no server can respond before the deadline
 constexpr millis least_left{20};
 
 } // namespace
--- a/src/serving/call_sends.hpp
+++ b/src/serving/call_sends.hpp
@@ -1,4 +1,4 @@
-// The sends of one call: to whom the next one may go, and what those before have come to.
+// The attempts of one call: where the next one may go, and how earlier ones ended.
 //
 // Index: 1 send_result, 2 call_sends
 #ifndef MARIGOLDCRANK_SERVING_CALL_SENDS_HPP
@@ -16,65 +16,69 @@
 namespace marigoldcrank
 {
 
-/// How one send has ended.
+/// How one attempt ended.
 struct send_result
 {
-    std::string      server;
-    exchange_fate    fate = exchange_fate::unknown;
-    std::string_view fault; // of a fixed set of words; empty: the answer broke off
-    unsigned         status = 0;
+    std::string   server;
+    exchange_fate fate = exchange_fate::unknown;
+    std::string_view
+             fault; // of a fixed set of words; empty: the response was interrupted
+    unsigned status = 0;
 };
 
-/// Lives as long as its call. Does no I/O but for log lines.
+/// Decides on attempts from the rules, the deadline, the service's retry budget and the
+/// results so far, and reports results to the server health and the crash detection.
+/// Lives as long as its call. Does no I/O except for log lines.
 class call_sends
 {
 public:
     call_sends(entry_state& state, call_notes& notes, caller_call const& call,
                admitted_call const& admitted);
 
-    // Before a send
+    // Before an attempt
 
-    /// Servers for the next send: those that haven't had the call, or all of them if none
-    /// is left. The only server of a service is tried again rather than not at all.
+    /// Servers for the next attempt: those not tried yet, or all of them if none is left,
+    /// since the only server of a service may be tried again.
     std::vector<candidate> servers_to_try();
 
-    /// Whether the call goes to a server now: time, its earlier sends, its share of
-    /// retries.
+    /// Decides whether an attempt starts now, from the time left, the earlier attempts
+    /// and the retry budget. A retry is taken from the budget.
     bool may_send();
 
-    /// Whether another send is worth a thought; may_send asks for the share of retries.
+    /// Whether another attempt is possible, apart from the retry budget.
     bool may_send_again() const;
 
-    /// Whether the call may go on after its read. A read that failed has been an arrival,
-    /// so what follows is a retry.
+    /// Whether the call may run after its prefill. A failed prefill may have reached a
+    /// server, so the run counts as a retry.
     bool may_run_after_read();
 
+    /// Whether the deadline leaves a server enough time to respond.
     bool time_left() const;
 
-    /// Whether no other server may run the call after the one that it was last sent to.
+    /// Whether no further server may run the call after the current one.
     bool is_last() const;
 
-    /// Until when the send that was begun last may take: a repeatable call leaves time
-    /// for a second server, any other waits to its end.
+    /// Deadline of the current attempt. If another server may run the call, half of the
+    /// remaining time is left for it; else the attempt may take all of it.
     loop_time attempt_end() const;
 
-    /// The call goes to `server` to be run.
+    /// Records that the call is sent to `server` to be run.
     void begin(std::string const& server);
 
-    // After it
+    // After an attempt
 
-    /// What a send to be run has come to. Also for one whose answer broke off after its
-    /// head.
+    /// Records how an attempt to run the call ended. Also called for an attempt whose
+    /// response was interrupted after its head.
     void settle(send_result const& result);
 
-    /// A server has answered with a failure of its own.
+    /// Records that a server responded with a failure of its own (status 500 or above).
     void settle_failure(send_result const& result);
 
-    /// A read has brought no handle. Unless it was never sent it has been an arrival, and
-    /// whether the server took it can't be known.
+    /// Records a prefill that returned no handle. Unless no byte of it was sent, it
+    /// counts as an arrival, since it isn't known whether the server took it.
     void settle_read(send_result const& result);
 
-    /// Why the call ends, if it ends now.
+    /// Sets the reason that is reported if the call ends now.
     void fault(std::string_view cause) noexcept
     {
         last_fault_ = cause;
@@ -85,7 +89,7 @@
         return last_fault_;
     }
 
-    /// The server that was to run the call last; empty: none.
+    /// The last server that the call was sent to, to be run; empty: none.
     std::string const& last_server() const noexcept
     {
         return last_server_;
@@ -98,13 +102,14 @@
 
 private:
     send_terms terms() const;
-    bool       take_retry();
+    /// Takes one retry from the budget of the service; false if it is exhausted.
+    bool take_retry();
 
-    /// What a failed send says about its server.
+    /// Reports a failed attempt to the health of its server.
     void note_health(send_result const& result);
 
-    /// A connection that ended under a call may mean that the call has crashed its
-    /// server; one that ran into a time-out, or whose server was leaving, doesn't.
+    /// Reports that the call may have crashed `server`. Only a connection that broke
+    /// counts: not a timeout, and not a server that is leaving or unlisted.
     void suspect(std::string const& server);
 
     void note_failure(std::string_view event, send_result const& result);
@@ -115,10 +120,10 @@
     admitted_call const&  admitted_;
     send_account          account_;
     std::set<std::string> tried_;
-    bool                  more_servers_ = false; // another one could be tried after this
-    bool                  read_failed_ = false; // the read was sent and brought no handle
-    std::string_view      last_fault_ = "no_server";
-    std::string           last_server_;
+    bool more_servers_ = false; // another server can be tried after the current one
+    bool read_failed_ = false;  // a prefill was sent and returned no handle
+    std::string_view last_fault_ = "no_server";
+    std::string      last_server_;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/caller_link.cpp
+++ b/src/serving/caller_link.cpp
@@ -1,4 +1,4 @@
-// Writing to callers, and watching for their leaving.
+// Writes to callers, polls for their disconnect, and closes gracefully.
 #include "serving/caller_link.hpp"
 
 #include <boost/asio/redirect_error.hpp>
@@ -17,15 +17,15 @@
 namespace
 {
 
-// 100  ms; how often a caller is looked at while its call is in work. Readiness won't do:
-//     bytes that a caller has sent ahead keep the socket readable and hide its leaving
+// 100  ms; interval of checks for a disconnect during a call. Readiness of the socket
+//      isn't enough: pipelined bytes keep it readable and hide the disconnect
 constexpr millis look_again{100};
-// 1000  ms and 256 KiB; longest that a closed side is still read off
+// 1000  ms and 256 KiB; limits of reading a caller's remaining bytes before the close
 constexpr millis      linger_time{1000};
 constexpr std::size_t linger_bytes = 262144;
 constexpr std::size_t linger_piece = 4096;
 
-/// True if the other side has closed or reset, even with bytes before that unread.
+/// True if the peer has closed or reset the connection, even behind unread bytes.
 bool closed_by_peer(int handle)
 {
     pollfd state{handle, POLLRDHUP, 0};
@@ -115,7 +115,7 @@
 
 void caller_link::abort()
 {
-    error_code ignored; // the connection ends either way
+    error_code ignored; // the connection is dropped either way
     stream_.socket().set_option(asio::socket_base::linger(true, 0), ignored);
     stream_.socket().close(ignored);
 }
@@ -133,7 +133,7 @@
             buffer_.prepare(linger_piece),
             asio::redirect_error(asio::use_awaitable, error));
     }
-    error_code ignored; // closing what is closed already changes nothing
+    error_code ignored; // it may be closed already
     stream_.socket().close(ignored);
 }
 
--- a/src/serving/caller_link.hpp
+++ b/src/serving/caller_link.hpp
@@ -1,4 +1,4 @@
-// One caller's connection: what the serving of a call may do with it.
+// A caller's connection: writes responses and detects that the caller has disconnected.
 //
 // Index: caller_link
 #ifndef MARIGOLDCRANK_SERVING_CALLER_LINK_HPP
@@ -17,29 +17,31 @@
 namespace marigoldcrank
 {
 
-/// Writes answers, and notices a caller that leaves while its call is in work.
+/// The connection is shared by its session and the call in progress.
 class caller_link : public std::enable_shared_from_this<caller_link>
 {
 public:
     explicit caller_link(boost::asio::ip::tcp::socket socket);
 
-    /// Writes all bytes; false if the caller is gone or takes nothing until then.
+    /// Writes all bytes. Returns false if the caller has disconnected or hasn't taken
+    /// them by `until`.
     boost::asio::awaitable<bool> write(std::string_view bytes, loop_time until);
 
-    /// Calls `on_leave` once if the caller closes its side, until `unwatch`.
+    /// Calls `on_leave` once if the caller closes its side before `unwatch` is called.
     void watch(std::function<void()> on_leave);
     void unwatch();
+    /// Whether a disconnect has been detected so far.
     bool left() const noexcept;
 
-    /// Looks at once. Load answered: a VM so busy that it reads calls, and notices that
-    /// their callers have gone, a second late must not send them on.
+    /// Checks the socket now. An overloaded VM may read a call a second late; it must not
+    /// forward the call if its caller has disconnected by then.
     bool has_left();
 
-    /// Ends the connection so that what was sent can't look whole.
+    /// Resets the connection, so that the caller can't take the response for complete.
     void abort();
 
-    /// Ends it in order: what is unread is read off first, since closing over unread
-    /// bytes resets the connection and can take the answer with it.
+    /// Closes the connection gracefully: sends FIN, then reads until the caller closes.
+    /// Closing with unread bytes would reset the connection and could lose the response.
     boost::asio::awaitable<void> finish();
 
     boost::beast::tcp_stream&  stream() noexcept;
@@ -54,8 +56,8 @@
     boost::beast::flat_buffer buffer_;
     boost::asio::steady_timer again_;
     std::function<void()>     on_leave_;
-    std::uint64_t             watch_ = 0; // counts watches; a late wake-up knows its own
-    bool                      left_ = false;
+    std::uint64_t watch_ = 0; // number of the watch; timers of earlier ones are ignored
+    bool          left_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/caller_session.hpp
+++ b/src/serving/caller_session.hpp
@@ -1,4 +1,4 @@
-// One caller's connection: requests are read strictly and served one after the other.
+// Reads, validates and serves the requests of one caller's connection in sequence.
 //
 // Index: 1 caller_session: run, reading, refusing
 #ifndef MARIGOLDCRANK_SERVING_CALLER_SESSION_HPP
@@ -17,9 +17,12 @@
 namespace marigoldcrank
 {
 
-/// Sessions that wait for a request; a drain ends them once the balancer has noticed it.
+/// Connections that wait for a request. A drain closes them once the load balancer has
+/// noticed it.
 using idle_links = std::set<std::shared_ptr<caller_link>>;
 
+/// Limits on headers, body and times come from the rules in force when a request begins.
+/// A request that violates HTTP or these limits is refused, and its connection is closed.
 template <wire_dialect Dialect>
 class caller_session
 {
@@ -31,7 +34,7 @@
     {
     }
 
-    /// Serves the connection to its end.
+    /// Serves requests until the connection closes.
     boost::asio::awaitable<void> run()
     {
         auto after = link_after::keep;
@@ -53,7 +56,7 @@
     using request_parser =
         boost::beast::http::request_parser<boost::beast::http::string_body>;
 
-    // 2000  ms; a caller that takes no refusal for so long is given up
+    // 2000  ms; a caller that doesn't take a refusal for this long is disconnected
     static constexpr millis write_time{2000};
 
     boost::asio::awaitable<link_after> serve_next()
@@ -78,8 +81,8 @@
         }
         if (state_.closed)
         {
-            // Too late to be sure of an end within the grace; another VM serves it at
-            // once.
+            // The call might not end within the grace period of the shutdown; another VM
+            // can serve it immediately.
             constexpr millis at_once{50};
             co_return co_await refuse({503, call_fate::not_run, "stopping", at_once});
         }
@@ -95,7 +98,7 @@
         co_return co_await runner.run();
     }
 
-    /// False if the connection ended, or stayed idle for too long.
+    /// Returns false if the connection closed or was idle for too long.
     boost::asio::awaitable<bool> wait_first_byte(caller_limits const& limits)
     {
         auto& buffer = link_->buffer();
@@ -111,7 +114,7 @@
             buffer.prepare(piece),
             boost::asio::redirect_error(boost::asio::use_awaitable, error));
         buffer.commit(read);
-        bool const ended = idle_.erase(link_) == 0; // by a drain: this side is closed
+        bool const ended = idle_.erase(link_) == 0; // a drain has closed this side
         co_return !error && !ended;
     }
 
@@ -186,8 +189,8 @@
         return bad(parsing ? "malformed" : "closed");
     }
 
-    /// Answers a request that can't be served as it is, and ends the connection: where
-    /// the next request begins is not certain any more.
+    /// Refuses a request that can't be served as it is, and closes the connection, since
+    /// it isn't certain where the next request begins.
     boost::asio::awaitable<link_after> refuse(own_reply refusal)
     {
         if (refusal.cause == "closed" || !link_->stream().socket().is_open())
--- a/src/serving/connection_pool.cpp
+++ b/src/serving/connection_pool.cpp
@@ -1,4 +1,4 @@
-// Reuse of connections.
+// Reuse and expiry of idle connections.
 #include "serving/connection_pool.hpp"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
     auto limit = options_.unstated_idle;
     if (connection.idle_limit)
     {
-        // Short limits leave no whole margin: half of them is kept instead.
+        // If the timeout is shorter than twice the margin, half of it is used.
         limit = std::max(*connection.idle_limit - options_.race_margin,
                          *connection.idle_limit / 2);
     }
--- a/src/serving/connection_pool.hpp
+++ b/src/serving/connection_pool.hpp
@@ -1,4 +1,4 @@
-// Idle connections to backend servers, by server.
+// Keeps idle connections to backend servers for reuse.
 //
 // Index: pool_options, connection_pool
 #ifndef MARIGOLDCRANK_SERVING_CONNECTION_POOL_HPP
@@ -15,36 +15,38 @@
 
 struct pool_options
 {
-    std::size_t most_idle = 16; // 16    a server; more are closed
-    millis unstated_idle{3000}; // 3000  ms; kept so long if the server states no limit
-    millis race_margin{1000};   // 1000  ms before the stated limit: a request that
-                                //       crosses the server's close has an unknown fate
+    std::size_t most_idle = 16; // 16    idle connections per server; the oldest is closed
+    millis      unstated_idle{3000}; // 3000  ms; idle timeout if the server states none
+    millis      race_margin{1000};   // 1000  ms before the stated timeout: a request that
+                              //       crosses the server's close may or may not run
 
     bool operator==(pool_options const&) const = default;
 };
 
-/// Not shared between threads.
+/// Connections are kept by server id. Not thread-safe.
 class connection_pool
 {
 public:
     explicit connection_pool(pool_options options = {});
 
-    /// A kept connection to the server, the one used last; null if there is none that is
-    /// safe. `careful` asks for one used in the last half of its allowed time, for calls
-    /// that can't be sent again.
+    /// Takes the most recently used connection to `server`, or null if none can be reused
+    /// safely. With `careful`, for calls that can't be sent again, it must have been idle
+    /// for less than half of the allowed time.
     std::shared_ptr<http_connection> take(std::string const& server, bool careful,
                                           loop_time now);
 
+    /// Keeps a connection for reuse.
     void give_back(std::string const& server, std::shared_ptr<http_connection> connection,
                    loop_time now);
 
-    /// Closes the connections to a server that is gone.
+    /// Closes all idle connections to a server that has been removed.
     void drop(std::string const& server);
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle for too long or that the server has closed.
     void trim(loop_time now);
 
 private:
+    /// Whether the connection can be reused.
     bool fresh(http_connection const& connection, bool careful, loop_time now) const;
 
     pool_options                                                         options_;
--- a/src/serving/event_splitter.cpp
+++ b/src/serving/event_splitter.cpp
@@ -1,4 +1,4 @@
-// Ends of events: a blank line, with either line ending.
+// Finds the ends of events: blank lines, with LF or CRLF line endings.
 #include "serving/event_splitter.hpp"
 
 namespace marigoldcrank
@@ -9,7 +9,7 @@
 
 constexpr std::string_view id_field = "id:";
 
-/// Where the last whole event ends; 0 if none is whole.
+/// Offset of the end of the last complete event; 0 if there is none.
 std::size_t whole_length(std::string_view text)
 {
     std::size_t end = 0;
--- a/src/serving/event_splitter.hpp
+++ b/src/serving/event_splitter.hpp
@@ -1,6 +1,6 @@
-// Cuts the bytes of an event stream into whole events, bytes unchanged.
+// Splits a server-sent event stream at event boundaries, with its bytes unchanged.
 //
-// Index: stream_event, event_splitter
+// Index: whole_events, event_splitter
 #ifndef MARIGOLDCRANK_SERVING_EVENT_SPLITTER_HPP
 #define MARIGOLDCRANK_SERVING_EVENT_SPLITTER_HPP
 
@@ -10,24 +10,24 @@
 namespace marigoldcrank
 {
 
-/// Whole events that stand together in one piece of a stream.
+/// Consecutive complete events of a stream.
 struct whole_events
 {
-    std::string bytes;   // as they came, blank lines included; empty: none is whole yet
-    std::string last_id; // of the last event that bears an id; empty: none does
+    std::string bytes;   // unchanged, with blank lines; empty: no event is complete yet
+    std::string last_id; // of the last event that has an id; empty: none has one
 
     bool operator==(whole_events const&) const = default;
 };
 
-/// A server may break off in the middle of an event. Only whole ones are passed on, so
-/// that a stream that goes on at another server neither repeats nor tears one.
+/// A server may fail in the middle of an event. Only complete events are relayed, so that
+/// a stream that is resumed on another server has no partial or repeated ones.
 class event_splitter
 {
 public:
-    /// Takes in bytes; gives the events that have become whole.
+    /// Appends bytes, and returns the events that they complete.
     whole_events feed(std::string_view bytes);
 
-    /// What stands behind the last whole event.
+    /// The bytes after the last complete event.
     std::string const& rest() const noexcept;
 
 private:
--- a/src/serving/handle_release.cpp
+++ b/src/serving/handle_release.cpp
@@ -1,4 +1,4 @@
-// One request in the background.
+// Sends the release request in a detached coroutine.
 #include "serving/handle_release.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -12,7 +12,8 @@
 namespace
 {
 
-constexpr millis patience{1000}; // 1000  ms; after that the handle is left to lapse
+constexpr millis patience{
+    1000}; // 1000  ms; for the whole request; then the handle expires by itself
 
 asio::awaitable<void> send_release(std::shared_ptr<http_connection> link,
                                    socket_address engine, http_request request)
--- a/src/serving/handle_release.hpp
+++ b/src/serving/handle_release.hpp
@@ -1,4 +1,4 @@
-// Frees a prompt's KV cache that nobody will fetch.
+// Releases a prompt's KV cache that no engine will fetch.
 //
 // Index: release_handle
 #ifndef MARIGOLDCRANK_SERVING_HANDLE_RELEASE_HPP
@@ -9,8 +9,8 @@
 namespace marigoldcrank
 {
 
-/// Sends `request` to the engine that keeps the cache and forgets about it: best effort,
-/// since a handle lapses by itself within seconds.
+/// Sends `request` to the engine that holds the KV cache, in the background and without
+/// retries: a handle that isn't released expires within seconds.
 void release_handle(boost::asio::any_io_executor const& executor,
                     socket_address const& engine, http_request request);
 
--- a/src/serving/http_connection.cpp
+++ b/src/serving/http_connection.cpp
@@ -1,4 +1,4 @@
-// Steps of an exchange over Asio and Beast.
+// The operations of a connection, over Asio and Beast.
 //
 // Index: 1 options, 2 connect and send, 3 reading, 4 state
 #include "serving/http_connection.hpp"
@@ -27,7 +27,8 @@
 namespace
 {
 
-constexpr std::size_t background_bytes = 4096; // longer bodies are sent in the background
+constexpr std::size_t background_bytes =
+    4096; // longer bodies are written in the background
 
 link_step step_of(error_code const& error)
 {
@@ -41,7 +42,7 @@
 template <class Value>
 void set_option(int socket, int level, int name, Value value)
 {
-    // A kernel that lacks an option still serves; time-outs of each step remain.
+    // Failures are ignored: without an option, the timeouts of each operation still hold.
     static_cast<void>(::setsockopt(socket, level, name, &value, sizeof value));
 }
 
@@ -194,7 +195,7 @@
 
 void http_connection::close()
 {
-    error_code ignored; // closing what is closed already changes nothing
+    error_code ignored; // it may be closed already
     stream_.socket().close(ignored);
 }
 
--- a/src/serving/http_connection.hpp
+++ b/src/serving/http_connection.hpp
@@ -1,4 +1,4 @@
-// One HTTP/1.1 connection to a backend server or to the platform, driven by coroutines.
+// An HTTP/1.1 client connection to a backend server or to the platform, for coroutines.
 //
 // Index: 1 link_step, 2 body_step, 3 connection_options, 4 http_connection
 #ifndef MARIGOLDCRANK_SERVING_HTTP_CONNECTION_HPP
@@ -20,21 +20,21 @@
 namespace marigoldcrank
 {
 
-/// Time of the event loop; a deadline of I/O, never of a decision that must count a
-/// suspension.
+/// Clock of the event loop, for deadlines of I/O. It stops while the VM is suspended;
+/// decisions that must include that time use boot_clock.
 using loop_clock = std::chrono::steady_clock;
 using loop_time = loop_clock::time_point;
 
-/// How one step on a connection ended.
+/// Result of a connect, a send, or the reading of a head.
 enum class link_step
 {
     ok,
     timed_out,
-    broken,   // closed, reset, unreachable, or closed by us
-    malformed // bytes that are no answer in the protocol
+    broken,   // closed by either side, reset, or unreachable
+    malformed // the bytes are not an HTTP response
 };
 
-/// How reading a part of a body ended.
+/// Result of reading a part of a body.
 enum class body_step
 {
     more,
@@ -43,24 +43,27 @@
     timed_out
 };
 
+/// TCP options of connections to callers and servers.
 struct connection_options
 {
-    // 1  s; an idle connection is probed after this, and again after each further one
+    // 1  s of idleness before the first keepalive probe, 1 s between probes; 2 unanswered
+    //    probes close the connection
     int probe_idle_s = 1;
     int probe_every_s = 1;
     int probe_count = 2;
-    // 2500  ms; sent bytes that nobody acknowledges end the connection
+    // 2500  ms; TCP_USER_TIMEOUT: sent bytes unacknowledged for longer close the
+    //       connection
     unsigned unacknowledged_ms = 2500;
 
     bool operator==(connection_options const&) const = default;
 };
 
-/// Sets no-delay, probes and the bound on unacknowledged bytes. Failure guarded against:
-/// a peer that vanishes without a reset; without these the connection hangs for minutes.
+/// Sets TCP_NODELAY, the keepalive probes and TCP_USER_TIMEOUT. Without the latter two, a
+/// connection whose peer vanishes without a reset hangs for minutes.
 void set_link_options(boost::asio::ip::tcp::socket& socket,
                       connection_options const&     options);
 
-/// At most one request at a time. Closing it ends any step in progress with `broken`.
+/// Carries one request at a time. Closing it ends the operation in progress as `broken`.
 class http_connection : public std::enable_shared_from_this<http_connection>
 {
 public:
@@ -69,22 +72,23 @@
     boost::asio::awaitable<link_step> connect(socket_address const& address,
                                               loop_time             until);
 
-    /// Sends a request. A long body goes on in the background: a server may answer before
-    /// it has read it, and one that doesn't read on must not hold up its answer.
+    /// Sends a request. A long body is written in the background, since a server may
+    /// respond before it has read the body, or without reading all of it.
     boost::asio::awaitable<link_step> send(http_request request, loop_time until);
 
-    /// Reads the head of the next answer, past informational ones.
+    /// Reads the head of the next response, and skips informational (1xx) ones.
     boost::asio::awaitable<link_step> read_head(bool head_only, loop_time until);
 
     answer_head const& head() const;
 
-    /// Appends what has arrived of the body.
+    /// Waits for the next bytes of the body and appends them to `out`.
     boost::asio::awaitable<body_step> read_body(std::string& out, loop_time until);
 
-    /// True if another request may follow: whole answer, no stray bytes, request through.
+    /// Whether another request may follow: request sent, response complete, no bytes
+    /// after it.
     bool reusable() const;
 
-    /// False if the other side has closed, or bytes wait that no request asked for.
+    /// Returns false if the peer has closed, or if unexpected bytes wait to be read.
     bool quiet() const;
 
     void close();
--- a/src/serving/http_rules.cpp
+++ b/src/serving/http_rules.cpp
@@ -1,4 +1,4 @@
-// Checks and copies of heads.
+// Checks of request heads and their fields.
 #include "serving/http_rules.hpp"
 
 #include <boost/beast/core/string.hpp>
--- a/src/serving/http_rules.hpp
+++ b/src/serving/http_rules.hpp
@@ -1,4 +1,4 @@
-// HTTP rules that hold on any wire: which fields end at a hop, which heads are ambiguous.
+// HTTP rules common to all dialects: hop-by-hop fields, and checks for ambiguous heads.
 //
 // Index: 1 head_fault, 2 check_head, 3 copy_end_to_end, 4 bare_host, 5 parse_whole_number
 #ifndef MARIGOLDCRANK_SERVING_HTTP_RULES_HPP
@@ -14,39 +14,39 @@
 namespace marigoldcrank
 {
 
-/// Why a head is refused with 400 though it could be parsed.
+/// Why a head that was parsed is refused with 400.
 enum class head_fault
 {
     none,
     host,            // missing, repeated or empty
-    length,          // repeated lengths, or a length beside a transfer coding
-    transfer_coding, // anything but chunked, once
-    target           // neither begins with a slash nor can be forwarded as it is
+    length,          // invalid or repeated lengths, or a length and a transfer coding
+    transfer_coding, // repeated, or other than chunked
+    target           // not a path, or with characters that can't be forwarded
 };
 
-/// Heads that two parsers could read differently. Passed on, such a request lets a second
-/// one hide in its body and run with another caller's rights.
+/// Finds heads that two parsers could read differently. If one were forwarded, a second
+/// request could be smuggled in its body and run with another caller's rights.
 head_fault check_head(request_head const& head);
 
+/// The name of the fault for logs and responses.
 char const* head_fault_name(head_fault value);
 
-/// Copies the fields that go from end to end. Fields that concern one connection, and
-/// those that Connection names, stay behind; `kept` tells names that Connection can't
-/// take away.
+/// Copies the end-to-end fields. Hop-by-hop fields and those listed in Connection are
+/// left out, except that `kept(name)` keeps a field that Connection lists.
 template <class Kept>
 void copy_end_to_end(boost::beast::http::fields const& from,
                      boost::beast::http::fields& to, Kept&& kept);
 
-/// True for names that concern one connection only.
+/// True for hop-by-hop fields and for those that frame one message.
 bool hop_field(std::string_view name);
 
-/// True if a Connection field names `name`.
+/// True if a Connection field lists `name`.
 bool named_by_connection(boost::beast::http::fields const& fields, std::string_view name);
 
 /// The host in lower case, without its port.
 std::string bare_host(std::string_view host);
 
-/// A whole number without sign or blanks.
+/// Parses a decimal integer without sign or blanks.
 std::optional<std::int64_t> parse_whole_number(std::string_view text);
 
 template <class Kept>
--- a/src/serving/listener.cpp
+++ b/src/serving/listener.cpp
@@ -1,4 +1,4 @@
-// The accept loop.
+// Listens, and accepts connections in a loop.
 #include "serving/listener.hpp"
 
 #include "serving/loop_sleep.hpp"
@@ -15,11 +15,9 @@
 namespace
 {
 
-// 1024  connections; a full queue drops the opening packet, which is sent again only
-// after a
-//       second
+// 1024  connections; a full queue drops SYN packets, which are sent again after 1 s
 constexpr int backlog = 1024;
-// 100   ms; without descriptors the next try of accepting waits for one to be closed
+// 100   ms; pause after a failed accept, as when no file descriptors are free
 constexpr millis no_descriptor_pause{100};
 
 asio::awaitable<void> accept_all(tcp::acceptor                    acceptor,
--- a/src/serving/listener.hpp
+++ b/src/serving/listener.hpp
@@ -1,4 +1,4 @@
-// Accepts connections on one address.
+// Accepts TCP connections on one address.
 //
 // Index: listen_on
 #ifndef MARIGOLDCRANK_SERVING_LISTENER_HPP
@@ -14,8 +14,8 @@
 namespace marigoldcrank
 {
 
-/// Calls `handler` with each accepted connection for as long as the loop runs. Throws
-/// boost::system::system_error if the address can't be listened on.
+/// Listens on `address` and calls `handler` with each accepted connection while the loop
+/// runs. Throws boost::system::system_error if it can't listen.
 void listen_on(boost::asio::io_context& loop, socket_address const& address,
                std::function<void(boost::asio::ip::tcp::socket)> handler);
 
--- a/src/serving/loop_sleep.hpp
+++ b/src/serving/loop_sleep.hpp
@@ -1,4 +1,4 @@
-// Waiting in a coroutine.
+// A timed wait for coroutines.
 //
 // Index: loop_sleep
 #ifndef MARIGOLDCRANK_SERVING_LOOP_SLEEP_HPP
--- a/src/serving/model_placing.cpp
+++ b/src/serving/model_placing.cpp
@@ -1,4 +1,4 @@
-// Places and times of model calls.
+// Choice of engines, deadlines and measured times of model calls.
 #include "serving/model_placing.hpp"
 
 #include "policy/wait_judgement.hpp"
@@ -12,14 +12,13 @@
 namespace
 {
 
-// 3  times the expected time, and 600 ms, for a prompt to be read: later its answer is
-// lost,
-//    or the engine so slow that reading it elsewhere is sooner
+// 3     times the expected time of a prefill, and 600 ms more, are allowed for it. Later
+//       its response is lost, or the engine so slow that a prefill elsewhere ends sooner
 constexpr int reading_factor = 3;
-// 4     engines of a role that a call chooses from where what is known of them is old
+// 4     engines of a role that a call chooses from when load digests come through relays
 constexpr std::int64_t choices = 4;
 constexpr millis       least_reading{600};
-// 4     objectives; a later first event is given up on where another engine may try
+// 4     times the route's objective is the least deadline of the first event
 constexpr int patient_objectives = 4;
 
 } // namespace
@@ -43,7 +42,7 @@
 
 void model_placing::count_demand(boot_clock::time_point arrived)
 {
-    // Short prompts are read where they are decoded.
+    // Short prompts are always prefilled colocated.
     if (reads_prompt() && call_.own_tokens() >= placement_options{}.handover_least)
     {
         meter().prompt(call_.own_tokens(), arrived);
--- a/src/serving/model_placing.hpp
+++ b/src/serving/model_placing.hpp
@@ -1,4 +1,4 @@
-// Placing of one model call: the decisions of src/policy over what this VM believes now.
+// Chooses engines for one model call: applies src/policy to the current state of this VM.
 //
 // Index: model_placing
 #ifndef MARIGOLDCRANK_SERVING_MODEL_PLACING_HPP
@@ -12,61 +12,62 @@
 namespace marigoldcrank
 {
 
-/// Lives as long as its call. Does no I/O.
+/// Chooses the engines for prefill and decode, sets deadlines for them, and records
+/// measured times for later choices. Calls without a prompt, and services without
+/// engines, are placed as plain calls. Lives as long as its call. Does no I/O.
 class model_placing
 {
 public:
     model_placing(entry_state& state, caller_call const& call,
                   admitted_call const& admitted);
 
-    /// Whether engines read a prompt for this call, which decides on its place.
+    /// Whether the call is placed by the prefill of its prompt.
     bool reads_prompt() const;
 
-    /// Counts the prompt into the demand by which roles are split.
+    /// Adds the prompt to the demand by which engines are split into roles.
     void count_demand(boot_clock::time_point arrived);
 
-    /// Where the call goes first; nothing if no server can take it. `apart`: its prompt
-    /// may be read by an engine that doesn't run it.
+    /// Chooses the server for the next attempt; nothing if no server can take the call.
+    /// `apart` allows prefill and decode on different engines.
     std::optional<placement> first(std::vector<candidate> const& candidates, bool apart);
 
-    /// The engine that runs a call whose prompt was read elsewhere; null if there is
-    /// none.
+    /// Chooses the engine that decodes after a handoff; null if there is none.
     backend_server const* takeover(std::vector<candidate> const& candidates);
 
-    /// When to come back, if the call would wait too long at its first place.
+    /// The Retry-After if the call would wait too long at `placed`; else nothing.
     std::optional<millis> too_late(placement const& placed) const;
 
-    /// When its prompt should have been read. Failure guarded against: the answer to a
-    /// read is lost without a reset; the call would wait for it until its caller gives
-    /// up, though a read may be repeated.
+    /// Deadline of the prefill. Without it, a call whose prefill response is lost without
+    /// a reset would wait until its caller gives up, though a prefill may be repeated.
     loop_time reading_end(placement const& placed) const;
 
-    /// Until when the first event may come. Guards against an engine that has gone dark
-    /// with a call: nothing ends the connection, and the caller waits to its deadline.
+    /// Deadline of the first event. Without it, a call at an engine that stopped
+    /// responding without closing the connection would wait until its own deadline.
     loop_time first_event_end(placement const& placed) const;
 
-    /// The call goes to `server`, which keeps its prompt from then on.
+    /// Records that the call is sent to `server`, which will have its prompt cached.
     void sent(std::string const& server, placement const& planned);
 
-    /// An engine has read the prompt.
+    /// Records the time of a prefill on a separate engine.
     void prompt_read(placement const& planned, boot_clock::duration took);
 
-    /// The engine that runs the call has read its prompt itself and begun to answer.
+    /// Records the time to the first event of a colocated prefill.
     void read_beside(placement const& planned, boot_clock::duration took);
 
-    /// The engine that runs the call has taken over its prompt and begun to answer.
+    /// Records the time to the first event of a handoff.
     void handed_over(boot_clock::duration took);
 
-    /// A stream has ended whole.
+    /// Records a complete stream: its number of writes, their time and the longest pause.
     void stream_ended(std::int64_t pieces, boot_clock::duration took,
                       boot_clock::duration longest_pause);
 
 private:
     work_meter&  meter() const;
     engine_costs costs() const;
-    double       unheard_ms() const;
+    /// Prefill work per engine that isn't in the digests yet, in ms, from demand and age.
+    double unheard_ms() const;
 
-    /// The candidates with what they keep of this call's prompt.
+    /// The candidates with the tokens of this prompt that they have cached.
     std::vector<candidate> with_kept(std::vector<candidate> candidates) const;
 
     entry_state&         state_;
--- a/src/serving/own_reply.cpp
+++ b/src/serving/own_reply.cpp
@@ -1,4 +1,4 @@
-// Bytes of answers.
+// Formatting of responses to callers.
 #include "serving/own_reply.hpp"
 
 #include "serving/http_rules.hpp"
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// End-to-end fields of a server's answer, without framing.
+/// Status and end-to-end fields of a server's response, without its framing.
 answer_head relayed_head(answer_head const& from, bool close)
 {
     answer_head head;
--- a/src/serving/own_reply.hpp
+++ b/src/serving/own_reply.hpp
@@ -1,5 +1,4 @@
-// Answers that the system gives itself: refusals, failures, and the caller's chunk
-// framing.
+// Formats responses to callers: refusals and failures of this VM, and relayed ones.
 //
 // Index: 1 own_reply, 2 format functions
 #ifndef MARIGOLDCRANK_SERVING_OWN_REPLY_HPP
@@ -16,31 +15,32 @@
 namespace marigoldcrank
 {
 
-/// One answer of our own.
+/// A response that this VM generates itself.
 struct own_reply
 {
     unsigned              status = 503;
     call_fate             fate = call_fate::not_run;
     std::string_view      cause;       // one word for logs, metrics and the body
-    std::optional<millis> retry_after; // when to come back; not_run only
+    std::optional<millis> retry_after; // for not_run only
 
     bool operator==(own_reply const&) const = default;
 };
 
-/// The whole answer in bytes.
+/// The complete response as bytes.
 std::string format_reply(own_reply const& reply, bool close);
 
-/// Head and body of a server's answer, with a length of our own.
+/// A server's response as bytes, with end-to-end fields only and a new Content-Length.
 std::string format_answer(answer_head const& head, std::string const& body, bool close,
                           bool head_only);
 
-/// The head of a stream whose events follow in chunks, or up to the end of the connection
-/// for a caller that doesn't know chunks.
+/// The head of a stream. Its events follow in chunks, or until the connection closes for
+/// a caller without support for chunked coding.
 std::string format_stream_head(answer_head const& head, bool close, bool chunked);
 
+/// One chunk of a chunked body.
 std::string format_chunk(std::string_view bytes);
 
-/// The chunk that ends a whole stream.
+/// The chunk that ends a complete stream.
 constexpr std::string_view last_chunk = "0\r\n\r\n";
 
 } // namespace marigoldcrank
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -1,6 +1,6 @@
-// Asking the VM that keeps a quota, and answering as that VM.
+// Queries to the owners of quotas, and replies as an owner.
 //
-// Index: 1 cost, 2 links, 3 asking, 4 answering, 5 refusing
+// Index: 1 cost, 2 links, 3 queries, 4 replies, 5 refusals
 #include "serving/quota_gate.hpp"
 
 #include "serving/loop_sleep.hpp"
@@ -36,17 +36,15 @@
 namespace
 {
 
-// 256   questions waiting for one VM
+// 256   queries queued for one VM
 constexpr int queue_limit = 256;
-// 150   ms; a VM that doesn't answer in this time is silent. Half of the time in which
-//       the quickest calls are to be answered
+// 150   ms; half of the time in which the fastest calls must be served
 constexpr millis patience{150};
-// 1000  ms; a silent VM is asked last for so long, unless another one knows it to live
+// 1000  ms; a VM that has not replied is asked last for this time
 constexpr millis silent_pause{1000};
-// 300   ms; a caller whom nobody could answer comes back when a stand-in may have taken
-//       over
+// 300   ms; Retry-After while no owner replies; another VM may have taken over by then
 constexpr millis back_later{300};
-// 50    ms; between looks at whether the other VMs are known
+// 50    ms; interval of checks whether the other VMs are known
 constexpr millis           settle_look{50};
 constexpr std::string_view question_kind = "quota";
 
@@ -69,7 +67,7 @@
 
 } // namespace
 
-/// Questions to other VMs.
+/// Sockets to other VMs, and the queries that wait for a reply.
 struct quota_gate::links
 {
     links(asio::io_context& io, zmq::context_t& zmq) : loop(io), context(zmq) {}
@@ -105,7 +103,7 @@
         auto const&       bytes = parts.back();
         if (!reply.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         {
-            return; // the question runs into its time-out
+            return; // the query times out
         }
         auto const found = open.find(reply.number());
         if (found != open.end())
@@ -122,7 +120,7 @@
     std::uint64_t                                           number = 0;
 };
 
-// 3. Asking
+// 3. Queries
 
 quota_gate::quota_gate(asio::io_context& loop, zmq::context_t& context,
                        entry_state& state, record_link& records)
@@ -184,12 +182,12 @@
         auto const found = silent_.find(home);
         return found != silent_.end() && now < found->second;
     };
-    // Whoever isn't heard may still answer: digests come through relays.
+    // A VM whose digests are missing may still reply, since digests come through relays.
     auto const doubt = [&](std::string const& home)
     {
         return (silent(home) ? 2 : 0) + (state_.heard_lately(home, now) ? 0 : 1);
     };
-    constexpr int lost = 3; // neither heard nor answering
+    constexpr int lost = 3; // no digests and no replies
     auto          homes = order_homes(workspace, homes_);
     std::erase_if(homes, [&](std::string const& each) { return doubt(each) == lost; });
     std::stable_sort(homes.begin(), homes.end(),
@@ -215,7 +213,7 @@
     links_->open[number] = asking;
     asking->timer.expires_after(patience);
     links_->send(address, message);
-    boost::system::error_code error; // cancelled by the answer, or over
+    boost::system::error_code error; // cancelled by the reply, or expired
     co_await asking->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
     links_->open.erase(number);
     state_.counters.add(asking->reply ? "quota_answers_total" : "quota_silences_total");
@@ -228,9 +226,9 @@
     co_return answer_of(*asking->reply);
 }
 
-/// Load answered: all VMs lose power and start at once, and their callers are there
-/// before they know each other. Each would let in its part of a fleet of unknown size,
-/// next to nothing, and refuse the rest.
+/// If all VMs restart at once, calls arrive before the VMs have discovered each other.
+/// Without the wait, each VM would admit only its share for a fleet of unknown size,
+/// almost nothing, and refuse the rest.
 asio::awaitable<void> quota_gate::settle() const
 {
     while (!state_.fleet.settled(boot_clock::now()))
@@ -311,7 +309,7 @@
     links_->send(hold.keeper, message);
 }
 
-// 4. Answering
+// 4. Replies
 
 quota_answer quota_gate::answer_own(quota_ask const& ask)
 {
@@ -361,7 +359,7 @@
     return reply.SerializeAsString();
 }
 
-// 5. Refusing
+// 5. Refusals
 
 void quota_gate::note_refusal(caller_call const& call, workspace const& owner,
                               quota_hold const& hold, quota_answer const& answer)
--- a/src/serving/quota_gate.hpp
+++ b/src/serving/quota_gate.hpp
@@ -1,9 +1,9 @@
-// Lets calls in by their workspace's quota, which one VM keeps for all.
+// Admits calls by their workspace's quota, which one VM (the owner) counts for all.
 //
 // Index: 1 quota_hold, 2 quota_gate
 //
-// How quotas are kept is decided in policy/quota_home.hpp, whom to ask in
-// policy/quota_course.hpp.
+// policy/quota_home.hpp decides how an owner counts quotas, and policy/quota_course.hpp
+// which VMs are asked.
 #ifndef MARIGOLDCRANK_SERVING_QUOTA_GATE_HPP
 #define MARIGOLDCRANK_SERVING_QUOTA_GATE_HPP
 
@@ -31,42 +31,46 @@
 
 class record_link;
 
-/// Units that a call holds of its workspace's quota.
+/// Units of its workspace's quota that a call has been granted.
 struct quota_hold
 {
     std::string  workspace;
-    std::int64_t units = 0; // 0  nothing is held
-    std::string  keeper;    // address of the VM that granted them; empty: this VM alone
+    std::int64_t units = 0; // 0  none have been granted
+    std::string
+        keeper; // address of the VM that granted them; empty: this VM, while isolated
 
     bool operator==(quota_hold const&) const = default;
 };
 
-/// Units that a call costs.
+/// Units that a call costs: 1, or its tokens if the quota counts tokens.
 std::int64_t quota_cost(workspace_quota const& quota, caller_call const& call);
 
+/// Asks the owner of a quota, and the next VMs in order if it doesn't reply. If no VM
+/// replies, this VM admits calls by itself within the bounds for an isolated VM. Replies
+/// to other VMs as their owner.
 class quota_gate
 {
 public:
-    /// Answers other VMs through `records`; all must outlive it.
+    /// Replies to other VMs through `records`. All arguments must outlive this object.
     quota_gate(boost::asio::io_context& loop, zmq::context_t& context, entry_state& state,
                record_link& records);
     ~quota_gate();
     quota_gate(quota_gate const&) = delete;
     quota_gate& operator=(quota_gate const&) = delete;
 
-    /// VMs that may keep quotas.
+    /// Sets the addresses of the VMs that may own quotas, and drops state of all others.
     void follow(std::vector<std::string> const& homes);
 
-    /// Those of them that live, as far as this VM hears.
+    /// The possible owners whose digests this VM has received lately.
     std::vector<std::string> homes_heard(boot_clock::time_point now) const;
 
-    /// Fills `hold`, or gives the refusal: nothing has run, and there will be room after
-    /// the time that it states. Takes up to three times the patience with a silent
-    /// VM, and after a start the time in which VMs meet.
+    /// Fills `hold`, or returns a refusal as not run, with the time after which units
+    /// will be available. Takes up to three reply timeouts if VMs don't reply, and after
+    /// a start the time in which VMs discover each other.
     boost::asio::awaitable<std::optional<own_reply>>
     admit(caller_call const& call, workspace const& owner, quota_hold& hold);
 
-    /// The call that held these units has not run.
+    /// Returns the units of a call that has not run.
     void give_back(quota_hold const& hold);
 
 private:
@@ -74,32 +78,39 @@
 
     quota_terms terms() const;
 
-    /// Drops buckets of workspaces that the rules don't have any more.
+    /// Drops the state of workspaces that are no longer in the rules.
     void forget_workspaces();
 
-    /// VMs to ask for a workspace, the home first.
+    /// The VMs to ask for a workspace in order: the owner first, but VMs that have not
+    /// replied or whose digests are missing later. VMs of which both is true are left
+    /// out.
     std::vector<std::string> order(std::string const& workspace) const;
 
-    /// Waits until a VM that has just started knows what part of the fleet it hears.
+    /// Waits after a start until this VM knows which part of the fleet it can reach.
     boost::asio::awaitable<void> settle() const;
 
+    /// Decides on a query as the owner.
     quota_answer answer_own(quota_ask const& ask);
-    std::string  answer_other(std::string const& question);
+    /// Replies to the serialised query of another VM; empty if it needs no reply.
+    std::string answer_other(std::string const& question);
 
+    /// Queries a VM; nothing if it doesn't reply in time.
     boost::asio::awaitable<std::optional<quota_answer>> ask(std::string address,
                                                             quota_ask   question);
 
+    /// Decides with the local bucket, while no VM replies.
     quota_answer take_alone(std::string const& workspace, std::int64_t units,
                             workspace_quota const& quota);
 
     void note_refusal(caller_call const& call, workspace const& owner,
                       quota_hold const& hold, quota_answer const& answer);
 
-    entry_state&                                  state_;
-    quota_home                                    home_;
-    std::vector<std::string>                      homes_;
-    std::map<std::string, boot_clock::time_point> silent_; // left alone until then
-    std::map<std::string, quota_bucket> alone_; // by workspace: while nobody answers
+    entry_state&             state_;
+    quota_home               home_;
+    std::vector<std::string> homes_;
+    std::map<std::string, boot_clock::time_point>
+                                        silent_; // by address: asked last until then
+    std::map<std::string, quota_bucket> alone_;  // by workspace; used while no VM replies
     std::unique_ptr<links>              links_;
 };
 
--- a/src/serving/server_exchange.hpp
+++ b/src/serving/server_exchange.hpp
@@ -1,4 +1,4 @@
-// One send of a call to one backend server, up to the head of its answer.
+// One HTTP exchange with a backend server, on a new or reused connection.
 //
 // Index: 1 exchange_request, 2 server_exchange
 #ifndef MARIGOLDCRANK_SERVING_SERVER_EXCHANGE_HPP
@@ -16,18 +16,18 @@
 namespace marigoldcrank
 {
 
-/// One send.
+/// The request of one exchange.
 struct exchange_request
 {
     http_request message;
     std::string  call_id;
-    bool      careful = false; // can't be sent again: takes only a surely open connection
-    bool      for_us = false;  // the answer isn't the caller's, and bears no signature
+    bool careful = false; // can't be sent again: reuse only recently used connections
+    bool for_us = false;  // the response isn't relayed and needs no signature
     loop_time until{};
 };
 
-/// Keeps the connection while the answer's body is read. Closing it stops the server's
-/// work.
+/// Holds the connection until the response has been read, then returns it to the pool or
+/// closes it. A server stops its work on a call when the connection is closed.
 template <wire_dialect Dialect>
 class server_exchange
 {
@@ -50,7 +50,7 @@
         return server_;
     }
 
-    /// Connects, sends, and reads heads until one belongs to this call.
+    /// Connects, sends the request, and reads heads until one belongs to this call.
     boost::asio::awaitable<exchange_fate> start(exchange_request request)
     {
         bool const head_only = request.message.method_string() == "HEAD";
@@ -81,8 +81,8 @@
             {
                 co_return judge();
             }
-            // A late answer to an earlier call: read past it, and never use the
-            // connection again, since more of them may follow.
+            // This is a late response to an earlier call. It is skipped, and the
+            // connection is not reused, since more of them may follow.
             stray_ = true;
             state_.counters.add("stray_answers_total");
             if (!co_await skip_body(request.until))
@@ -105,7 +105,7 @@
         return connection_->head();
     }
 
-    /// Why there is no answer; for logs.
+    /// Why there is no valid response, for logs; empty if there is one.
     char const* fault() const noexcept
     {
         return fault_;
@@ -116,7 +116,7 @@
         return connection_->read_body(out, until);
     }
 
-    /// The rest of the body, whole or not at all.
+    /// Reads the rest of the body. Returns false if it is incomplete or too long.
     boost::asio::awaitable<bool> read_whole(std::string& out, loop_time until)
     {
         auto step = body_step::more;
@@ -127,7 +127,8 @@
         co_return step == body_step::whole;
     }
 
-    /// Ends any step in progress; the server drops the call when its connection closes.
+    /// Closes the connection, which aborts the operation in progress and makes the server
+    /// drop the call.
     void stop()
     {
         if (connection_)
@@ -138,9 +139,10 @@
 
 private:
     static constexpr int         most_stray_answers = 4;
-    static constexpr std::size_t most_body = 16U << 20U; // 16 MiB; of a plain answer
-    // 400  ms; far above any way within a region: a longer connect means a server that is
-    //      dark or whose queue of new connections is full, and another one is tried
+    static constexpr std::size_t most_body = 16U
+                                             << 20U; // 16 MiB; body of a plain response
+    // 400  ms; far above any round trip within a region: the server is unreachable or its
+    //      accept queue is full, and another one is tried
     static constexpr millis connect_time{400};
 
     boost::asio::awaitable<bool> open(exchange_request const& request)
@@ -179,7 +181,8 @@
         constexpr unsigned first_redirect = 300;
         bool const         success =
             facts_.status >= first_success && facts_.status < first_redirect;
-        // A success counts only as its server's own bytes and signed by it.
+        // A success is valid only if the server signed it and the body is the server's
+        // own bytes.
         if ((success && !facts_.signed_whole && !for_us_) || facts_.encoded)
         {
             fault_ = "unsigned";
@@ -194,7 +197,8 @@
         co_return co_await read_whole(ignored, until);
     }
 
-    /// The connection is kept only if nothing on it can be mistaken for another's answer.
+    /// Returns the connection to the pool unless bytes on it could be taken for the
+    /// response to another call; else closes it.
     void settle()
     {
         if (!connection_)
--- a/src/serving/stream_pace.hpp
+++ b/src/serving/stream_pace.hpp
@@ -1,4 +1,4 @@
-// How an answer came along: its first event and the longest pause after it.
+// Measures the timing of a stream: time to the first event, and longest pause after it.
 //
 // Index: stream_pace
 #ifndef MARIGOLDCRANK_SERVING_STREAM_PACE_HPP
@@ -12,14 +12,15 @@
 namespace marigoldcrank
 {
 
-/// Pure; time is passed in. Shows which answers were late, and on what: the wait for the
-/// first event (reading, queues) or a pause in between (a server that does other work).
+/// Tells which streams were late, and why: the wait for the first event (queueing and
+/// prefill) or a pause between events (a server busy with other work). Pure; the time is
+/// passed in.
 class stream_pace
 {
 public:
     explicit stream_pace(boot_clock::time_point arrived) : arrived_(arrived) {}
 
-    /// Events were passed on now.
+    /// Records that events were relayed at `now`.
     void passed(boot_clock::time_point now)
     {
         if (!started())
@@ -38,13 +39,13 @@
         return first_ != boot_clock::time_point{};
     }
 
-    /// When the first event was passed on; epoch: none was.
+    /// When the first event was relayed; the epoch if none was.
     boot_clock::time_point first() const noexcept
     {
         return first_;
     }
 
-    /// From the call's arrival to its first event; 0 if there was none.
+    /// Time from the arrival of the call to its first event; 0 if there was none.
     boot_clock::duration wait() const noexcept
     {
         return started() ? first_ - arrived_ : boot_clock::duration::zero();
@@ -55,7 +56,7 @@
         return pause_;
     }
 
-    /// Whether the route's caller was promised more.
+    /// Whether the route's objective or event gap was exceeded.
     bool late(route const& terms) const noexcept
     {
         bool const waited = terms.objective.count() > 0 && wait() > terms.objective;
--- a/src/serving/stream_relay.cpp
+++ b/src/serving/stream_relay.cpp
@@ -1,4 +1,4 @@
-// Framing of streams for callers.
+// Framing of streams to callers.
 #include "serving/stream_relay.hpp"
 
 #include "serving/own_reply.hpp"
--- a/src/serving/stream_relay.hpp
+++ b/src/serving/stream_relay.hpp
@@ -1,4 +1,5 @@
-// The caller's side of a stream: whole events, behind one head, over one or more servers.
+// Builds the caller's stream from the streams of one or more servers: one head, complete
+// events.
 //
 // Index: stream_relay
 #ifndef MARIGOLDCRANK_SERVING_STREAM_RELAY_HPP
@@ -14,30 +15,32 @@
 namespace marigoldcrank
 {
 
-/// Turns what servers send into what the caller gets; does no I/O. The head goes out with
-/// the first whole event, so that a failure before it can still have a status of its own.
-/// A server that goes on where another broke off adds its events behind the first one's
-/// head.
+/// Converts bytes of servers into bytes for the caller; does no I/O. The head is sent
+/// with the first complete event, so that a failure before it can still have its own
+/// status. If another server resumes an interrupted stream, its events follow and its
+/// head is left out.
 class stream_relay
 {
 public:
-    /// `chunked`: the caller knows chunks; else the stream ends with the connection.
+    /// `chunked`: the caller supports chunked coding; else the stream ends when the
+    /// connection is closed. `close`: the connection is closed after the stream.
     stream_relay(bool close, bool chunked);
 
-    /// A server begins (once more). What its predecessor left of a torn event is dropped.
+    /// Starts the stream of the next server. A partial event of the previous one is
+    /// dropped.
     void begin_server();
 
-    /// Bytes of the server's body; `whole` if they end it. Gives what the caller gets
-    /// now.
+    /// Takes bytes of the server's body; `whole` if they complete it. Returns the bytes
+    /// to send to the caller now.
     std::string take(answer_head const& head, std::string_view bytes, bool whole);
 
-    /// True once the caller has the head: from then on the status can't change.
+    /// Whether the head has been returned; the status can't change from then on.
     bool started() const noexcept;
 
-    /// The id of the last event passed on; empty: none bore one.
+    /// The id of the last event relayed; empty if none had one.
     std::string const& last_event() const noexcept;
 
-    /// Pieces passed on.
+    /// Number of writes with at least one event.
     std::int64_t pieces() const noexcept;
 
 private:
--- a/src/serving/wire_dialect.hpp
+++ b/src/serving/wire_dialect.hpp
@@ -1,4 +1,4 @@
-// What the serving path needs of an adapter that knows the names on the wire.
+// The interface between the serving path and an adapter that knows the names on the wire.
 //
 // Index: 1 messages, 2 call_fault, 3 onward_call, 4 answer_facts, 5 wire_dialect
 #ifndef MARIGOLDCRANK_SERVING_WIRE_DIALECT_HPP
@@ -23,43 +23,44 @@
 using request_head = boost::beast::http::request_header<>;
 using answer_head = boost::beast::http::response_header<>;
 
-/// Why a caller's request can't be understood.
+/// Why a caller's request is invalid.
 enum class call_fault
 {
-    repeated_field, // a field that may stand once stands twice
-    bad_number      // a field that holds a number doesn't
+    repeated_field, // a field that is allowed once occurs twice
+    bad_number      // a numeric field holds something else
 };
 
-/// What one send to a backend server adds to the caller's own request.
+/// What an attempt at a backend server adds to the caller's request.
 struct onward_call
 {
-    std::string  server_id; // any other server turns the request away
-    std::string  workspace; // empty: the call needs no key and has none
-    millis       left{0};   // the server stops at this
-    std::int64_t rank = 0;  // most urgent first
+    std::string  server_id; // any other server refuses the request
+    std::string  workspace; // empty: the call has no valid key and needs none
+    millis       left{0};   // time left; the server stops the call after it
+    std::int64_t rank = 0;  // place in the order of urgency, most urgent first
     bool         prefill_only = false;
-    std::string  cache_source; // ADDRESS/HANDLE of a prefilled prompt; empty: none
-    std::string  fetch_from;   // ADDRESS of an engine that keeps parts; empty: none
-    std::string  resume_after; // go on behind this event; empty: from the start
+    std::string
+        cache_source;       // ADDRESS/HANDLE of the KV cache to decode from; empty: none
+    std::string fetch_from; // ADDRESS of an engine with parts cached; empty: none
+    std::string resume_after; // id of the last event received; empty: from the start
 
     bool operator==(onward_call const&) const = default;
 };
 
-/// What an answer's head says about who answered and what has happened.
+/// What a response head says about the server and the state of the call.
 struct answer_facts
 {
-    unsigned              status = 0;
-    std::string           call_id;              // of the call it belongs to
-    bool                  signed_whole = false; // bears a server's signature
-    bool                  not_run = false;      // the server says it has not run it
-    bool                  closes = false;       // the connection ends with this answer
-    bool                  encoded = false;      // the body isn't the server's own bytes
-    std::optional<millis> idle_limit; // the server closes an idle connection after this
+    unsigned    status = 0;
+    std::string call_id;              // of the call it belongs to
+    bool        signed_whole = false; // has a server's signature
+    bool        not_run = false;      // the server states that it did not run the call
+    bool        closes = false;       // the connection closes after this response
+    bool        encoded = false;      // the body is encoded: not the server's own bytes
+    std::optional<millis> idle_limit; // the server's timeout of idle connections
 
     bool operator==(answer_facts const&) const = default;
 };
 
-/// Pure translation between the wire's names and the values above.
+/// Pure translation between the names on the wire and the types above.
 template <class Dialect>
 concept wire_dialect = requires(request_head const& head, answer_head const& answer,
                                 http_request const& request, onward_call const& onward,
