--- a/src/serving/call_admission.cpp
+++ b/src/serving/call_admission.cpp
@@ -21,7 +21,7 @@
 std::optional<own_reply> check_key(caller_call const& call, bool fresh,
                                    admitted_call& admitted)
 {
-    admitted.owner =
+    admitted.caller_workspace =
         call.key.empty() ? nullptr : admitted.rules->find_workspace(call.key);
     if (!admitted.rules->keyed() || admitted.matched->open)
     {
@@ -31,7 +31,7 @@
     {
         return own_reply{503, call_fate::not_run, "stale_keys", soon};
     }
-    if (admitted.owner == nullptr)
+    if (admitted.caller_workspace == nullptr)
     {
         return own_reply{401, call_fate::final_refusal, "unknown_key", std::nullopt};
     }
@@ -77,11 +77,12 @@
         return own_reply{503, call_fate::not_run, "poison", poison_pause};
     }
     auto const& matched = *admitted.matched;
-    bool const  ranked = admitted.owner != nullptr && admitted.owner->rank >= 0;
+    bool const  ranked =
+        admitted.caller_workspace != nullptr && admitted.caller_workspace->rank >= 0;
     admitted.deadline = deadline_of(call, matched);
     admitted.service_name = pick_target(matched, state.ticket())->service;
     admitted.target = admitted.rules->find_service(admitted.service_name);
-    admitted.rank = ranked ? admitted.owner->rank : matched.rank;
+    admitted.rank = ranked ? admitted.caller_workspace->rank : matched.rank;
     admitted.repeatable = matched.kind == call_kind::idempotent ||
                           (matched.kind == call_kind::stream && matched.resumable);
     state.budget(admitted.service_name).admit();
--- a/src/serving/call_admission.hpp
+++ b/src/serving/call_admission.hpp
@@ -24,7 +24,7 @@
     std::shared_ptr<serving_rules const> rules;
     route const*                         matched = nullptr;
     service const*   target = nullptr; // null: the rules don't describe the service
-    workspace const* owner = nullptr;  // null: the call carries no valid key
+    workspace const* caller_workspace = nullptr; // null: the call carries no valid key
     std::string      service_name;
     std::string  content;  // hash of path, caller and body; identifies crashing requests
     std::int64_t rank = 0; // place in the order of urgency, most urgent first
--- a/src/serving/call_notes.cpp
+++ b/src/serving/call_notes.cpp
@@ -22,7 +22,7 @@
 {
 }
 
-void call_notes::sent(send_step const& step, admitted_call const& admitted)
+void call_notes::attempt_started(send_step const& step, admitted_call const& admitted)
 {
     auto const& planned = step.planned;
     event_line  line{"send"};
@@ -39,7 +39,7 @@
     state_.log.write_step(id_, line, boot_clock::now());
 }
 
-void call_notes::failed(send_failure const& failure)
+void call_notes::attempt_failed(send_failure const& failure)
 {
     auto const now = boot_clock::now();
     auto const fate = exchange_fate_name(failure.fate);
@@ -54,7 +54,7 @@
                      now);
 }
 
-void call_notes::suspected(std::string const& content, std::string const& server)
+void call_notes::crash_suspected(std::string const& content, std::string const& server)
 {
     state_.log.write(event_line{"suspect"}
                          .add("content", content)
@@ -63,7 +63,7 @@
                      boot_clock::now());
 }
 
-void call_notes::ended(call_end const& end, admitted_call const& admitted)
+void call_notes::call_ended(call_end const& end, admitted_call const& admitted)
 {
     auto const now = boot_clock::now();
     event_line line{"end"};
@@ -76,8 +76,8 @@
         .add("server", end.server)
         .add("rules", version_of(admitted))
         .add("keys_age_ms", now - state_.view.read_sent)
-        .add("first_ms", end.pace.wait())
-        .add("pause_ms", end.pace.longest_pause())
+        .add("first_ms", end.timing.time_to_first_event())
+        .add("pause_ms", end.timing.longest_pause())
         .add("took_ms", now - arrived_);
     state_.counters.observe("call_seconds", now - arrived_);
     state_.counters.add("calls_total", "outcome=\"" + std::string{end.outcome} + "\"");
--- a/src/serving/call_notes.hpp
+++ b/src/serving/call_notes.hpp
@@ -24,7 +24,7 @@
     std::int64_t     runs = 0;
     std::string_view fault;  // why the last failed attempt failed
     std::string_view server; // the last server that the call was sent to, to be run
-    stream_pace      pace;
+    stream_timing    timing;
 };
 
 /// What is known about a failed attempt.
@@ -54,16 +54,16 @@
     call_notes(entry_state& state, std::string const& id, boot_clock::time_point arrived);
 
     /// Logs the start of an attempt, for sampled calls only.
-    void sent(send_step const& step, admitted_call const& admitted);
+    void attempt_started(send_step const& step, admitted_call const& admitted);
 
     /// Logs and counts a failed attempt.
-    void failed(send_failure const& failure);
+    void attempt_failed(send_failure const& failure);
 
     /// Logs that a call with this content may have crashed its server.
-    void suspected(std::string const& content, std::string const& server);
+    void crash_suspected(std::string const& content, std::string const& server);
 
     /// Logs and counts the end of the call. Served calls are logged only if sampled.
-    void ended(call_end const& end, admitted_call const& admitted);
+    void call_ended(call_end const& end, admitted_call const& admitted);
 
 private:
     entry_state&           state_;
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -53,15 +53,16 @@
         auto refusal = admit_call(state_, call_, request_.body(), arrived_, admitted_);
         if (!refusal && has_quota())
         {
-            refusal = co_await state_.quotas->admit(call_, *admitted_.owner, held_);
+            refusal =
+                co_await state_.quotas->admit(call_, *admitted_.caller_workspace, held_);
         }
         if (refusal)
         {
-            co_await reply(*refusal);
+            co_await send_own_response(*refusal);
         }
         else
         {
-            caller_.watch([this] { stop(); });
+            caller_.watch_disconnect([this] { stop(); });
             if (streamed() || placing_.reads_prompt())
             {
                 co_await serve_stream();
@@ -73,7 +74,7 @@
             caller_.unwatch();
         }
         --state_.calls_in_work;
-        if (held_.units > 0 && !sends_.account().maybe_run() && state_.quotas != nullptr)
+        if (held_.units > 0 && !sends_.history().maybe_run() && state_.quotas != nullptr)
         {
             state_.quotas->give_back(held_);
         }
@@ -111,8 +112,8 @@
 
     bool has_quota() const
     {
-        return admitted_.owner != nullptr && admitted_.owner->quota &&
-               state_.quotas != nullptr;
+        return admitted_.caller_workspace != nullptr &&
+               admitted_.caller_workspace->quota && state_.quotas != nullptr;
     }
 
     bool streamed() const
@@ -136,14 +137,15 @@
             exchange   link{state_, *server};
             in_use     use{*this, link};
             load_share share{state_, server->id, 0};
-            notes_.sent({server->id, "call", sends_.account().runs(), {}}, admitted_);
-            sends_.begin(server->id);
+            notes_.attempt_started({server->id, "call", sends_.history().runs(), {}},
+                                   admitted_);
+            sends_.record_start(server->id);
             auto const fate = co_await run_at(link, {}, sends_.attempt_end());
-            if (caller_.left())
+            if (caller_.disconnected())
             {
                 co_return;
             }
-            sends_.settle(result_of(link, fate));
+            sends_.record_result(result_of(link, fate));
             if (fate != exchange_fate::answered)
             {
                 continue;
@@ -163,13 +165,13 @@
         if (!head_only)
         {
             bool const whole = co_await link.read_whole(body, sends_.attempt_end());
-            if (!whole && !caller_.left())
+            if (!whole && !caller_.disconnected())
             {
-                sends_.settle(result_of(link, exchange_fate::unknown));
+                sends_.record_result(result_of(link, exchange_fate::unknown));
             }
             if (!whole)
             {
-                co_return caller_.left();
+                co_return caller_.disconnected();
             }
         }
         auto const status = link.facts().status;
@@ -179,7 +181,7 @@
         {
             state_.health.succeeded(link.server().id);
             state_.crashes.answered(admitted_.content, boot_clock::now());
-            co_await answer(std::move(bytes), status);
+            co_await send_response(std::move(bytes), status);
             co_return true;
         }
         // The server's own failure is the response if no other server serves the call.
@@ -201,8 +203,8 @@
         placing_.count_demand(arrived_);
         while (!caller_.has_left())
         {
-            auto const first = placing_.first(sends_.servers_to_try(),
-                                              !prefilled_ && !stream_.started());
+            auto const first = placing_.choose_first(sends_.servers_to_try(),
+                                                     !prefilled_ && !stream_.started());
             if (!first || !sends_.may_send())
             {
                 co_return co_await give_up();
@@ -212,9 +214,10 @@
             if (back)
             {
                 own_reply const refusal{503, call_fate::not_run, "queue", back};
-                co_return co_await reply(refusal);
+                co_return co_await send_own_response(refusal);
             }
-            auto decode = *first->server; // copies: the server list may change during I/O
+            auto decode_server =
+                *first->server; // copies: the server list may change during I/O
             backend_server reader;
             std::string    source;
             auto           planned = *first;
@@ -222,21 +225,21 @@
             if (first->prefill_only)
             {
                 prefilled_ = true;
-                reader = decode;
+                reader = decode_server;
                 source = co_await read_prompt(reader, planned);
                 // The plan points to servers that may have been removed meanwhile.
                 planned = placement{.unread = source.empty() ? planned.unread : 0};
-                if (!caller_.has_left() && !choose_decode(decode))
+                if (!caller_.has_left() && !choose_decode(decode_server))
                 {
                     co_await give_up();
                 }
-                if (caller_.left() || !end_.empty())
+                if (caller_.disconnected() || !end_.empty())
                 {
                     release(reader, source);
                     co_return;
                 }
             }
-            if (co_await run_stream(decode, source, planned))
+            if (co_await run_stream(decode_server, source, planned))
             {
                 co_return;
             }
@@ -246,7 +249,7 @@
 
     /// Chooses the engine that runs the call after its prefill, also after a failed one.
     /// Returns false if there is none.
-    bool choose_decode(backend_server& decode)
+    bool choose_decode(backend_server& decode_server)
     {
         if (!sends_.may_run_after_read())
         {
@@ -256,7 +259,7 @@
         auto const* server = placing_.takeover(candidates);
         if (server != nullptr)
         {
-            decode = *server;
+            decode_server = *server;
         }
         return server != nullptr;
     }
@@ -269,11 +272,12 @@
         exchange   link{state_, server};
         in_use     use{*this, link};
         load_share share{state_, server.id, placed.unread};
-        notes_.sent({server.id, "prompt", sends_.account().runs(), placed}, admitted_);
-        placing_.sent(server.id, placed);
+        notes_.attempt_started({server.id, "prompt", sends_.history().runs(), placed},
+                               admitted_);
+        placing_.record_attempt(server.id, placed);
         auto const until = placing_.reading_end(placed);
         auto const began = boot_clock::now();
-        auto       message = onward(server);
+        auto       message = attempt_options_for(server);
         message.prefill_only = true;
         message.fetch_from = fetch_from_;
         auto const         fate = co_await send_message(link, message, true, until);
@@ -287,14 +291,14 @@
         auto const handle = answered ? Dialect::read_handle(body) : std::nullopt;
         if (!handle)
         {
-            if (!caller_.left())
+            if (!caller_.disconnected())
             {
                 sends_.settle_read(result_of(link, fate));
             }
             co_return std::string{};
         }
         state_.health.succeeded(server.id);
-        placing_.prompt_read(placed, boot_clock::now() - began);
+        placing_.record_prefill(placed, boot_clock::now() - began);
         co_return address_of(&server) + "/" + *handle;
     }
 
@@ -306,21 +310,21 @@
         exchange   link{state_, server};
         in_use     use{*this, link};
         load_share share{state_, server.id, planned.unread};
-        notes_.sent({server.id, source.empty() ? "call" : "run", sends_.account().runs(),
-                     planned},
-                    admitted_);
-        placing_.sent(server.id, planned);
+        notes_.attempt_started({server.id, source.empty() ? "call" : "run",
+                                sends_.history().runs(), planned},
+                               admitted_);
+        placing_.record_attempt(server.id, planned);
         run_sent_ = boot_clock::now();
         run_planned_ = planned;
-        sends_.begin(server.id);
+        sends_.record_start(server.id);
         auto const until =
             sends_.is_last() ? admitted_.deadline : placing_.first_event_end(planned);
         auto const fate = co_await run_at(link, source, until);
-        if (caller_.left())
+        if (caller_.disconnected())
         {
             co_return true;
         }
-        sends_.settle(result_of(link, fate));
+        sends_.record_result(result_of(link, fate));
         if (fate != exchange_fate::answered)
         {
             co_return false;
@@ -348,7 +352,7 @@
         {
             bytes.clear();
             step = co_await link.read_body(bytes, admitted_.deadline);
-            if (caller_.left())
+            if (caller_.disconnected())
             {
                 co_return true;
             }
@@ -363,7 +367,7 @@
             end_stream(link);
             co_return true;
         }
-        sends_.settle(result_of(link, exchange_fate::unknown));
+        sends_.record_result(result_of(link, exchange_fate::unknown));
         if (stream_.started() && !sends_.may_send_again())
         {
             co_return co_await break_off(sends_.fault());
@@ -380,11 +384,11 @@
         auto const out = stream_.take(link.head(), bytes, whole);
         if (stream_.pieces() > events)
         {
-            pace_.passed(boot_clock::now());
+            pace_.record_events(boot_clock::now());
         }
         if (stream_.started() && !began)
         {
-            state_.counters.observe("first_event_seconds", pace_.wait());
+            state_.counters.observe("first_event_seconds", pace_.time_to_first_event());
             learn_from_first_event();
             status_ = link.facts().status;
             count_usage();
@@ -401,14 +405,14 @@
     void learn_from_first_event()
     {
         auto const took = boot_clock::now() - run_sent_;
-        bool const plain = placing_.reads_prompt() && sends_.account().runs() == 1;
+        bool const plain = placing_.reads_prompt() && sends_.history().runs() == 1;
         if (plain && run_planned_.unread > 0 && !prefilled_)
         {
-            placing_.read_beside(run_planned_, took);
+            placing_.record_colocated_prefill(run_planned_, took);
         }
         else if (plain && run_planned_.unread == 0 && prefilled_)
         {
-            placing_.handed_over(took);
+            placing_.record_handoff(took);
         }
     }
 
@@ -417,8 +421,8 @@
         auto const now = boot_clock::now();
         state_.health.succeeded(link.server().id);
         state_.crashes.answered(admitted_.content, now);
-        placing_.stream_ended(stream_.pieces(), now - pace_.first(),
-                              pace_.longest_pause());
+        placing_.record_stream(stream_.pieces(), now - pace_.first(),
+                               pace_.longest_pause());
         state_.counters.observe("longest_pause_seconds", pace_.longest_pause());
         end_ = "served";
         after_ = keep_ && knows_chunks(request_) ? link_after::keep : link_after::close;
@@ -442,10 +446,12 @@
 
     // Attempts
 
-    onward_call onward(backend_server const& server) const
+    onward_call attempt_options_for(backend_server const& server) const
     {
         return {.server_id = server.id,
-                .workspace = admitted_.owner == nullptr ? "" : admitted_.owner->name,
+                .workspace = admitted_.caller_workspace == nullptr
+                                 ? ""
+                                 : admitted_.caller_workspace->name,
                 .left = std::chrono::duration_cast<millis>(admitted_.deadline -
                                                            loop_clock::now()),
                 .rank = admitted_.rank,
@@ -457,7 +463,7 @@
     boost::asio::awaitable<exchange_fate>
     run_at(exchange& link, std::string const& source, loop_time until)
     {
-        auto message = onward(link.server());
+        auto message = attempt_options_for(link.server());
         message.cache_source = source;
         message.fetch_from = source.empty() ? fetch_from_ : std::string{};
         return send_message(link, message, false, until);
@@ -521,20 +527,20 @@
         }
         if (!kept_failure_.empty())
         {
-            co_return co_await answer(std::move(kept_failure_), kept_status_);
+            co_return co_await send_response(std::move(kept_failure_), kept_status_);
         }
         bool const late = !sends_.time_left();
-        if (sends_.account().maybe_run())
+        if (sends_.history().maybe_run())
         {
             own_reply const unknown{late ? 504U : 502U, call_fate::outcome_unknown,
                                     sends_.fault(), std::nullopt};
-            co_return co_await reply(unknown);
+            co_return co_await send_own_response(unknown);
         }
         own_reply const refusal{503, call_fate::not_run, sends_.fault(), soon};
-        co_await reply(refusal);
+        co_await send_own_response(refusal);
     }
 
-    boost::asio::awaitable<void> reply(own_reply value)
+    boost::asio::awaitable<void> send_own_response(own_reply value)
     {
         status_ = value.status;
         end_ = value.cause.empty() ? "refused" : value.cause;
@@ -544,7 +550,7 @@
         co_await write_out(format_reply(value, !keep_));
     }
 
-    boost::asio::awaitable<void> answer(std::string bytes, unsigned status)
+    boost::asio::awaitable<void> send_response(std::string bytes, unsigned status)
     {
         status_ = status;
         end_ = "served";
@@ -562,23 +568,23 @@
 
     void count_usage()
     {
-        if (admitted_.owner != nullptr && !counted_)
+        if (admitted_.caller_workspace != nullptr && !counted_)
         {
             counted_ = true;
-            state_.usage.add(admitted_.owner->name, state_.day_ms());
+            state_.usage.add(admitted_.caller_workspace->name, state_.day_ms());
         }
     }
 
     void note_end()
     {
-        if (caller_.left() && end_.empty())
+        if (caller_.disconnected() && end_.empty())
         {
             end_ = "caller_left";
             after_ = link_after::aborted;
         }
-        notes_.ended({end_, status_, sends_.account().runs(), sends_.fault(),
-                      sends_.last_server(), pace_},
-                     admitted_);
+        notes_.call_ended({end_, status_, sends_.history().runs(), sends_.fault(),
+                           sends_.last_server(), pace_},
+                          admitted_);
     }
 
     entry_state&           state_;
--- a/src/serving/call_sends.cpp
+++ b/src/serving/call_sends.cpp
@@ -72,7 +72,7 @@
     return is_last() ? admitted_.deadline : now + (admitted_.deadline - now) / 2;
 }
 
-void call_sends::begin(std::string const& server)
+void call_sends::record_start(std::string const& server)
 {
     account_.begin();
     last_server_ = server;
@@ -94,7 +94,7 @@
     return granted;
 }
 
-void call_sends::settle(send_result const& result)
+void call_sends::record_result(send_result const& result)
 {
     account_.end(result.fate);
     if (result.fate == exchange_fate::answered)
@@ -106,7 +106,7 @@
     note_health(result);
     if (result.fate == exchange_fate::unknown)
     {
-        suspect(result.server);
+        report_suspected_crash(result.server);
     }
     note_failure("send_failed", result);
 }
@@ -148,7 +148,7 @@
     }
 }
 
-void call_sends::suspect(std::string const& server)
+void call_sends::report_suspected_crash(std::string const& server)
 {
     auto const listed = state_.servers.servers().find(server);
     bool const leaving =
@@ -158,17 +158,17 @@
     bool const ended = last_fault_ == "broken";
     if (ended && !leaving && state_.crashes.crashed(crash, boot_clock::now()))
     {
-        notes_.suspected(crash.content, crash.server);
+        notes_.crash_suspected(crash.content, crash.server);
     }
 }
 
 void call_sends::note_failure(std::string_view event, send_result const& result)
 {
-    notes_.failed({.event = event,
-                   .server = result.server,
-                   .fate = result.fate,
-                   .fault = result.fault,
-                   .status = result.status});
+    notes_.attempt_failed({.event = event,
+                           .server = result.server,
+                           .fate = result.fate,
+                           .fault = result.fault,
+                           .status = result.status});
 }
 
 } // namespace marigoldcrank
--- a/src/serving/call_sends.hpp
+++ b/src/serving/call_sends.hpp
@@ -63,13 +63,13 @@
     loop_time attempt_end() const;
 
     /// Records that the call is sent to `server` to be run.
-    void begin(std::string const& server);
+    void record_start(std::string const& server);
 
     // After an attempt
 
     /// Records how an attempt to run the call ended. Also called for an attempt whose
     /// response was interrupted after its head.
-    void settle(send_result const& result);
+    void record_result(send_result const& result);
 
     /// Records that a server responded with a failure of its own (status 500 or above).
     void settle_failure(send_result const& result);
@@ -95,7 +95,7 @@
         return last_server_;
     }
 
-    send_account const& account() const noexcept
+    send_account const& history() const noexcept
     {
         return account_;
     }
@@ -110,7 +110,7 @@
 
     /// Reports that the call may have crashed `server`. Only a connection that broke
     /// counts: not a timeout, and not a server that is leaving or unlisted.
-    void suspect(std::string const& server);
+    void report_suspected_crash(std::string const& server);
 
     void note_failure(std::string_view event, send_result const& result);
 
--- a/src/serving/caller_link.cpp
+++ b/src/serving/caller_link.cpp
@@ -49,54 +49,54 @@
                                asio::redirect_error(asio::use_awaitable, error));
     if (error)
     {
-        leave();
+        handle_disconnect();
     }
     co_return !error;
 }
 
-void caller_link::watch(std::function<void()> on_leave)
+void caller_link::watch_disconnect(std::function<void()> on_disconnect)
 {
-    ++watch_;
-    on_leave_ = std::move(on_leave);
+    ++watch_number_;
+    on_disconnect_ = std::move(on_disconnect);
     look_later();
 }
 
 void caller_link::unwatch()
 {
-    ++watch_;
-    on_leave_ = nullptr;
+    ++watch_number_;
+    on_disconnect_ = nullptr;
     again_.cancel();
 }
 
-bool caller_link::left() const noexcept
+bool caller_link::disconnected() const noexcept
 {
-    return left_;
+    return disconnected_;
 }
 
 bool caller_link::has_left()
 {
-    if (!left_ &&
+    if (!disconnected_ &&
         (!stream_.socket().is_open() || closed_by_peer(stream_.socket().native_handle())))
     {
-        leave();
+        handle_disconnect();
     }
-    return left_;
+    return disconnected_;
 }
 
 void caller_link::look_later()
 {
     again_.expires_after(look_again);
     again_.async_wait(
-        [self = shared_from_this(), own = watch_](error_code const& error)
+        [self = shared_from_this(), own = watch_number_](error_code const& error)
         {
-            if (!error && own == self->watch_)
+            if (!error && own == self->watch_number_)
             {
-                self->look();
+                self->check();
             }
         });
 }
 
-void caller_link::look()
+void caller_link::check()
 {
     if (!has_left())
     {
@@ -104,12 +104,12 @@
     }
 }
 
-void caller_link::leave()
+void caller_link::handle_disconnect()
 {
-    left_ = true;
-    if (auto const told = std::exchange(on_leave_, nullptr))
+    disconnected_ = true;
+    if (auto const callback = std::exchange(on_disconnect_, nullptr))
     {
-        told();
+        callback();
     }
 }
 
--- a/src/serving/caller_link.hpp
+++ b/src/serving/caller_link.hpp
@@ -27,11 +27,12 @@
     /// them by `until`.
     boost::asio::awaitable<bool> write(std::string_view bytes, loop_time until);
 
-    /// Calls `on_leave` once if the caller closes its side before `unwatch` is called.
-    void watch(std::function<void()> on_leave);
+    /// Calls `on_disconnect` once if the caller closes its side before `unwatch` is
+    /// called.
+    void watch_disconnect(std::function<void()> on_disconnect);
     void unwatch();
     /// Whether a disconnect has been detected so far.
-    bool left() const noexcept;
+    bool disconnected() const noexcept;
 
     /// Checks the socket now. An overloaded VM may read a call a second late; it must not
     /// forward the call if its caller has disconnected by then.
@@ -49,15 +50,16 @@
 
 private:
     void look_later();
-    void look();
-    void leave();
+    void check();
+    void handle_disconnect();
 
     boost::beast::tcp_stream  stream_;
     boost::beast::flat_buffer buffer_;
     boost::asio::steady_timer again_;
-    std::function<void()>     on_leave_;
-    std::uint64_t watch_ = 0; // number of the watch; timers of earlier ones are ignored
-    bool          left_ = false;
+    std::function<void()>     on_disconnect_;
+    std::uint64_t             watch_number_ =
+        0; // number of the watch; timers of earlier ones are ignored
+    bool disconnected_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/http_connection.cpp
+++ b/src/serving/http_connection.cpp
@@ -88,7 +88,7 @@
 asio::awaitable<link_step> http_connection::send(http_request request, loop_time until)
 {
     stream_.expires_at(until);
-    whole_ = false;
+    complete_ = false;
     if (request.body().size() <= background_bytes)
     {
         error_code error;
@@ -116,7 +116,7 @@
 asio::awaitable<link_step> http_connection::read_head(bool head_only, loop_time until)
 {
     constexpr unsigned informational = 200;
-    whole_ = false;
+    complete_ = false;
     do
     {
         parser_.emplace();
@@ -136,7 +136,7 @@
             co_return ours && !ended ? link_step::malformed : step_of(error);
         }
     } while (parser_->get().result_int() < informational);
-    whole_ = parser_->is_done();
+    complete_ = parser_->is_done();
     co_return link_step::ok;
 }
 
@@ -149,7 +149,7 @@
 {
     if (parser_->is_done())
     {
-        whole_ = true;
+        complete_ = true;
         co_return body_step::whole;
     }
     std::array<char, body_piece> piece;
@@ -168,15 +168,15 @@
         co_return error == beast::error::timeout ? body_step::timed_out
                                                  : body_step::broken;
     }
-    whole_ = parser_->is_done();
-    co_return whole_ ? body_step::whole : body_step::more;
+    complete_ = parser_->is_done();
+    co_return complete_ ? body_step::whole : body_step::more;
 }
 
 // 4. State
 
 bool http_connection::reusable() const
 {
-    return whole_ && !writing_ && !write_failed_ && buffer_.size() == 0 && parser_ &&
+    return complete_ && !writing_ && !write_failed_ && buffer_.size() == 0 && parser_ &&
            parser_->get().keep_alive() && !parser_->get().need_eof() &&
            stream_.socket().is_open();
 }
--- a/src/serving/http_connection.hpp
+++ b/src/serving/http_connection.hpp
@@ -106,7 +106,7 @@
     std::optional<answer_parser> parser_;
     bool                         writing_ = false;
     bool                         write_failed_ = false;
-    bool                         whole_ = false;
+    bool                         complete_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/model_placing.cpp
+++ b/src/serving/model_placing.cpp
@@ -49,8 +49,8 @@
     }
 }
 
-std::optional<placement> model_placing::first(std::vector<candidate> const& candidates,
-                                              bool                          apart)
+std::optional<placement>
+model_placing::choose_first(std::vector<candidate> const& candidates, bool apart)
 {
     auto const& centre = state_.settings.data_centre;
     if (reads_prompt() && apart)
@@ -151,7 +151,7 @@
     return candidates;
 }
 
-void model_placing::sent(std::string const& server, placement const& planned)
+void model_placing::record_attempt(std::string const& server, placement const& planned)
 {
     if (reads_prompt())
     {
@@ -160,7 +160,7 @@
     }
 }
 
-void model_placing::prompt_read(placement const& planned, boot_clock::duration took)
+void model_placing::record_prefill(placement const& planned, boot_clock::duration took)
 {
     if (state_.settings.learn)
     {
@@ -169,7 +169,8 @@
     }
 }
 
-void model_placing::read_beside(placement const& planned, boot_clock::duration took)
+void model_placing::record_colocated_prefill(placement const&     planned,
+                                             boot_clock::duration took)
 {
     if (state_.settings.learn)
     {
@@ -178,13 +179,13 @@
     }
 }
 
-void model_placing::handed_over(boot_clock::duration took)
+void model_placing::record_handoff(boot_clock::duration took)
 {
     meter().handed_over(took);
 }
 
-void model_placing::stream_ended(std::int64_t pieces, boot_clock::duration took,
-                                 boot_clock::duration longest_pause)
+void model_placing::record_stream(std::int64_t pieces, boot_clock::duration took,
+                                  boot_clock::duration longest_pause)
 {
     state_.pauses[admitted_.service_name].ended(pieces, longest_pause,
                                                 admitted_.matched->event_gap);
--- a/src/serving/model_placing.hpp
+++ b/src/serving/model_placing.hpp
@@ -29,7 +29,8 @@
 
     /// Chooses the server for the next attempt; nothing if no server can take the call.
     /// `apart` allows prefill and decode on different engines.
-    std::optional<placement> first(std::vector<candidate> const& candidates, bool apart);
+    std::optional<placement> choose_first(std::vector<candidate> const& candidates,
+                                          bool                          apart);
 
     /// Chooses the engine that decodes after a handoff; null if there is none.
     backend_server const* takeover(std::vector<candidate> const& candidates);
@@ -46,20 +47,20 @@
     loop_time first_event_end(placement const& placed) const;
 
     /// Records that the call is sent to `server`, which will have its prompt cached.
-    void sent(std::string const& server, placement const& planned);
+    void record_attempt(std::string const& server, placement const& planned);
 
     /// Records the time of a prefill on a separate engine.
-    void prompt_read(placement const& planned, boot_clock::duration took);
+    void record_prefill(placement const& planned, boot_clock::duration took);
 
     /// Records the time to the first event of a colocated prefill.
-    void read_beside(placement const& planned, boot_clock::duration took);
+    void record_colocated_prefill(placement const& planned, boot_clock::duration took);
 
     /// Records the time to the first event of a handoff.
-    void handed_over(boot_clock::duration took);
+    void record_handoff(boot_clock::duration took);
 
     /// Records a complete stream: its number of writes, their time and the longest pause.
-    void stream_ended(std::int64_t pieces, boot_clock::duration took,
-                      boot_clock::duration longest_pause);
+    void record_stream(std::int64_t pieces, boot_clock::duration took,
+                       boot_clock::duration longest_pause);
 
 private:
     work_meter&  meter() const;
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -105,8 +105,8 @@
         {
             return; // the query times out
         }
-        auto const found = open.find(reply.number());
-        if (found != open.end())
+        auto const found = open_queries.find(reply.number());
+        if (found != open_queries.end())
         {
             found->second->reply = std::move(reply);
             found->second->timer.cancel();
@@ -116,7 +116,7 @@
     asio::io_context&                                       loop;
     zmq::context_t&                                         context;
     std::map<std::string, std::unique_ptr<watched_socket>>  sockets; // by address
-    std::map<std::uint64_t, std::shared_ptr<open_question>> open;
+    std::map<std::uint64_t, std::shared_ptr<open_question>> open_queries;
     std::uint64_t                                           number = 0;
 };
 
@@ -196,40 +196,40 @@
     return homes;
 }
 
-asio::awaitable<std::optional<quota_answer>> quota_gate::ask(std::string address,
-                                                             quota_ask   question)
+asio::awaitable<std::optional<quota_answer>> quota_gate::query(std::string address,
+                                                               quota_ask   question)
 {
     if (address == state_.contact.records)
     {
         co_return answer_own(question);
     }
     auto const           number = ++links_->number;
-    auto const           asking = std::make_shared<open_question>(links_->loop);
+    auto const           pending = std::make_shared<open_question>(links_->loop);
     wire::quota_question message;
     message.set_number(number);
     message.set_workspace(question.workspace);
     message.set_units(question.units);
     message.set_left(question.left);
-    links_->open[number] = asking;
-    asking->timer.expires_after(patience);
+    links_->open_queries[number] = pending;
+    pending->timer.expires_after(patience);
     links_->send(address, message);
     boost::system::error_code error; // cancelled by the reply, or expired
-    co_await asking->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
-    links_->open.erase(number);
-    state_.counters.add(asking->reply ? "quota_answers_total" : "quota_silences_total");
-    if (!asking->reply)
+    co_await pending->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
+    links_->open_queries.erase(number);
+    state_.counters.add(pending->reply ? "quota_answers_total" : "quota_silences_total");
+    if (!pending->reply)
     {
         silent_[address] = boot_clock::now() + silent_pause;
         co_return std::nullopt;
     }
     silent_.erase(address);
-    co_return answer_of(*asking->reply);
+    co_return answer_of(*pending->reply);
 }
 
 /// If all VMs restart at once, calls arrive before the VMs have discovered each other.
 /// Without the wait, each VM would admit only its share for a fleet of unknown size,
 /// almost nothing, and refuse the rest.
-asio::awaitable<void> quota_gate::settle() const
+asio::awaitable<void> quota_gate::wait_for_fleet() const
 {
     while (!state_.fleet.settled(boot_clock::now()))
     {
@@ -244,24 +244,24 @@
     auto const   units = quota_cost(*owner.quota, call);
     quota_answer answer;
     hold = {.workspace = owner.name};
-    co_await settle();
+    co_await wait_for_fleet();
     quota_course course{order(owner.name)};
     while (!course.address().empty())
     {
-        hold.keeper = course.address();
+        hold.granted_by = course.address();
         quota_ask  question{owner.name, units, course.left()};
-        auto const heard = co_await ask(hold.keeper, std::move(question));
-        answer = heard.value_or(quota_answer{});
+        auto const reply = co_await query(hold.granted_by, std::move(question));
+        answer = reply.value_or(quota_answer{});
         bool const declined = answer.outcome == quota_outcome::declined;
-        course.take(!heard     ? quota_reply::silent
+        course.take(!reply     ? quota_reply::silent
                     : declined ? quota_reply::declined
                                : quota_reply::decided,
                     answer.home);
     }
     if (!course.decided())
     {
-        hold.keeper.clear();
-        answer = take_alone(owner.name, units, *owner.quota);
+        hold.granted_by.clear();
+        answer = decide_isolated(owner.name, units, *owner.quota);
     }
     state_.counters.observe("quota_seconds", boot_clock::now() - began);
     if (answer.outcome == quota_outcome::granted)
@@ -273,8 +273,8 @@
     co_return own_reply{429, call_fate::not_run, "quota", answer.retry_after};
 }
 
-quota_answer quota_gate::take_alone(std::string const& workspace, std::int64_t units,
-                                    workspace_quota const& quota)
+quota_answer quota_gate::decide_isolated(std::string const& workspace, std::int64_t units,
+                                         workspace_quota const& quota)
 {
     auto const now = boot_clock::now();
     auto const bounds = bounds_alone(quota, terms(), state_.fleet.alone());
@@ -289,12 +289,12 @@
 void quota_gate::give_back(quota_hold const& hold)
 {
     auto const now = boot_clock::now();
-    if (hold.keeper == state_.contact.records)
+    if (hold.granted_by == state_.contact.records)
     {
         home_.give_back(hold.workspace, hold.units, now);
         return;
     }
-    if (hold.keeper.empty())
+    if (hold.granted_by.empty())
     {
         auto const bucket = alone_.find(hold.workspace);
         if (bucket != alone_.end())
@@ -306,7 +306,7 @@
     wire::quota_question message;
     message.set_workspace(hold.workspace);
     message.set_units(-hold.units);
-    links_->send(hold.keeper, message);
+    links_->send(hold.granted_by, message);
 }
 
 // 4. Replies
@@ -372,7 +372,7 @@
             .add("rate", owner.quota->rate)
             .add("burst", owner.quota->burst)
             .add("left", answer.left)
-            .add("keeper", hold.keeper.empty() ? "alone" : hold.keeper)
+            .add("keeper", hold.granted_by.empty() ? "alone" : hold.granted_by)
             .add("vms", state_.fleet.vms())
             .add("rules", state_.view.rules
                               ? static_cast<std::int64_t>(state_.view.rules->version())
--- a/src/serving/quota_gate.hpp
+++ b/src/serving/quota_gate.hpp
@@ -37,7 +37,7 @@
     std::string  workspace;
     std::int64_t units = 0; // 0  none have been granted
     std::string
-        keeper; // address of the VM that granted them; empty: this VM, while isolated
+        granted_by; // address of the VM that granted them; empty: this VM, while isolated
 
     bool operator==(quota_hold const&) const = default;
 };
@@ -87,20 +87,21 @@
     std::vector<std::string> order(std::string const& workspace) const;
 
     /// Waits after a start until this VM knows which part of the fleet it can reach.
-    boost::asio::awaitable<void> settle() const;
+    boost::asio::awaitable<void> wait_for_fleet() const;
 
     /// Decides on a query as the owner.
     quota_answer answer_own(quota_ask const& ask);
     /// Replies to the serialised query of another VM; empty if it needs no reply.
     std::string answer_other(std::string const& question);
 
-    /// Queries a VM; nothing if it doesn't reply in time.
-    boost::asio::awaitable<std::optional<quota_answer>> ask(std::string address,
-                                                            quota_ask   question);
+    /// Queries a VM, or decides here if it is this one; nothing if it doesn't reply in
+    /// time.
+    boost::asio::awaitable<std::optional<quota_answer>> query(std::string address,
+                                                              quota_ask   question);
 
     /// Decides with the local bucket, while no VM replies.
-    quota_answer take_alone(std::string const& workspace, std::int64_t units,
-                            workspace_quota const& quota);
+    quota_answer decide_isolated(std::string const& workspace, std::int64_t units,
+                                 workspace_quota const& quota);
 
     void note_refusal(caller_call const& call, workspace const& owner,
                       quota_hold const& hold, quota_answer const& answer);
--- a/src/serving/server_exchange.hpp
+++ b/src/serving/server_exchange.hpp
@@ -39,7 +39,7 @@
 
     ~server_exchange()
     {
-        settle();
+        release_connection();
     }
 
     server_exchange(server_exchange const&) = delete;
@@ -66,7 +66,7 @@
             fault_ = "send";
             co_return exchange_fate::unknown;
         }
-        for (int answers = 0; answers < most_stray_answers; ++answers)
+        for (int responses = 0; responses < most_stray_answers; ++responses)
         {
             auto const read = co_await connection_->read_head(head_only, request.until);
             if (read != link_step::ok)
@@ -79,7 +79,7 @@
             facts_ = Dialect::read_answer(connection_->head());
             if (facts_.call_id.empty() || facts_.call_id == request.call_id)
             {
-                co_return judge();
+                co_return evaluate_head();
             }
             // This is a late response to an earlier call. It is skipped, and the
             // connection is not reused, since more of them may follow.
@@ -169,7 +169,7 @@
         co_return true;
     }
 
-    exchange_fate judge()
+    exchange_fate evaluate_head()
     {
         connection_->idle_limit = facts_.idle_limit;
         if (facts_.not_run)
@@ -199,7 +199,7 @@
 
     /// Returns the connection to the pool unless bytes on it could be taken for the
     /// response to another call; else closes it.
-    void settle()
+    void release_connection()
     {
         if (!connection_)
         {
--- a/src/serving/stream_pace.hpp
+++ b/src/serving/stream_pace.hpp
@@ -21,7 +21,7 @@
     explicit stream_pace(boot_clock::time_point arrived) : arrived_(arrived) {}
 
     /// Records that events were relayed at `now`.
-    void passed(boot_clock::time_point now)
+    void record_events(boot_clock::time_point now)
     {
         if (!started())
         {
@@ -46,7 +46,7 @@
     }
 
     /// Time from the arrival of the call to its first event; 0 if there was none.
-    boot_clock::duration wait() const noexcept
+    boot_clock::duration time_to_first_event() const noexcept
     {
         return started() ? first_ - arrived_ : boot_clock::duration::zero();
     }
@@ -57,9 +57,10 @@
     }
 
     /// Whether the route's objective or event gap was exceeded.
-    bool late(route const& terms) const noexcept
+    bool exceeds_targets(route const& terms) const noexcept
     {
-        bool const waited = terms.objective.count() > 0 && wait() > terms.objective;
+        bool const waited =
+            terms.objective.count() > 0 && time_to_first_event() > terms.objective;
         bool const paused =
             terms.event_gap.count() > 0 && longest_pause() > terms.event_gap;
         return waited || paused;
