--- a/src/serving/call_admission.cpp
+++ b/src/serving/call_admission.cpp
@@ -11,15 +11,15 @@
 
 // 5000 ms; a request that has crashed two servers isn't run again, but its caller may
 //      have changed it by then
-constexpr millis poison_pause{5000};
+constexpr millis poison_retry_after{5000};
 // 60000 ms; deadline of calls that state none
-constexpr millis unstated_patience{60000};
+constexpr millis default_timeout{60000};
 
 /// Checks the call's API key. While a VM can't reach the store, it doesn't hear of
 /// withdrawn keys; once its rules are too old, it refuses every call that needs a key as
 /// not run.
-std::optional<own_reply> check_key(caller_call const& call, bool fresh,
-                                   admitted_call& admitted)
+std::optional<own_response> check_key(caller_call const& call, bool fresh,
+                                      admitted_call& admitted)
 {
     admitted.caller_workspace =
         call.key.empty() ? nullptr : admitted.rules->find_workspace(call.key);
@@ -29,18 +29,18 @@
     }
     if (!fresh)
     {
-        return own_reply{503, call_fate::not_run, "stale_keys", soon};
+        return own_response{503, call_fate::not_run, "stale_keys", refusal_retry_after};
     }
     if (admitted.caller_workspace == nullptr)
     {
-        return own_reply{401, call_fate::final_refusal, "unknown_key", std::nullopt};
+        return own_response{401, call_fate::final_refusal, "unknown_key", std::nullopt};
     }
     return std::nullopt;
 }
 
 loop_time deadline_of(caller_call const& call, route const& matched)
 {
-    auto patience = call.patience.value_or(unstated_patience);
+    auto patience = call.patience.value_or(default_timeout);
     if (matched.timeout.count() > 0)
     {
         patience = std::min(patience, matched.timeout);
@@ -50,23 +50,25 @@
 
 } // namespace
 
-std::optional<own_reply> admit_call(entry_state& state, caller_call const& call,
-                                    std::string const&     body,
-                                    boot_clock::time_point arrived,
-                                    admitted_call&         admitted)
+std::optional<own_response> admit_call(entry_state& state, caller_call const& call,
+                                       std::string const&     body,
+                                       boot_clock::time_point arrived,
+                                       admitted_call&         admitted)
 {
     bool const fresh = state.keys_fresh(arrived);
     admitted.rules = state.view.rules;
     admitted.content = content_of(call, body);
     if (!admitted.rules)
     {
-        return own_reply{503, call_fate::not_run, "no_rules", soon};
+        return own_response{503, call_fate::not_run, "no_rules", refusal_retry_after};
     }
     admitted.matched = admitted.rules->find_route(call.host, call.path());
     if (admitted.matched == nullptr)
     {
-        return fresh ? own_reply{404, call_fate::final_refusal, "no_route", std::nullopt}
-                     : own_reply{503, call_fate::not_run, "stale_rules", soon};
+        return fresh
+                   ? own_response{404, call_fate::final_refusal, "no_route", std::nullopt}
+                   : own_response{503, call_fate::not_run, "stale_rules",
+                                  refusal_retry_after};
     }
     if (auto const refusal = check_key(call, fresh, admitted))
     {
@@ -74,7 +76,7 @@
     }
     if (state.crashes.guilty(admitted.content, arrived))
     {
-        return own_reply{503, call_fate::not_run, "poison", poison_pause};
+        return own_response{503, call_fate::not_run, "poison", poison_retry_after};
     }
     auto const& matched = *admitted.matched;
     bool const  ranked =
--- a/src/serving/call_admission.hpp
+++ b/src/serving/call_admission.hpp
@@ -15,7 +15,7 @@
 {
 
 // 300  ms; Retry-After of refusals whose cause is expected to pass soon
-constexpr millis soon{300};
+constexpr millis refusal_retry_after{300};
 
 /// What the rules in force at its arrival say about a call. The pointers lead into
 /// `rules`, which this struct keeps alive.
@@ -35,10 +35,10 @@
 /// Checks rules, route, key and content in this order, and fills `admitted` up to the
 /// first check that fails. Returns the refusal, or nothing if the call is admitted. An
 /// admitted call is counted into its service's retry budget.
-std::optional<own_reply> admit_call(entry_state& state, caller_call const& call,
-                                    std::string const&     body,
-                                    boot_clock::time_point arrived,
-                                    admitted_call&         admitted);
+std::optional<own_response> admit_call(entry_state& state, caller_call const& call,
+                                       std::string const&     body,
+                                       boot_clock::time_point arrived,
+                                       admitted_call&         admitted);
 
 } // namespace marigoldcrank
 
--- a/src/serving/call_notes.cpp
+++ b/src/serving/call_notes.cpp
@@ -16,13 +16,13 @@
 
 } // namespace
 
-call_notes::call_notes(entry_state& state, std::string const& id,
-                       boot_clock::time_point arrived)
+call_log::call_log(entry_state& state, std::string const& id,
+                   boot_clock::time_point arrived)
     : state_(state), id_(id), arrived_(arrived)
 {
 }
 
-void call_notes::attempt_started(send_step const& step, admitted_call const& admitted)
+void call_log::attempt_started(attempt_plan const& step, admitted_call const& admitted)
 {
     auto const& planned = step.planned;
     event_line  line{"send"};
@@ -39,7 +39,7 @@
     state_.log.write_step(id_, line, boot_clock::now());
 }
 
-void call_notes::attempt_failed(send_failure const& failure)
+void call_log::attempt_failed(attempt_failure const& failure)
 {
     auto const now = boot_clock::now();
     auto const fate = exchange_fate_name(failure.fate);
@@ -54,7 +54,7 @@
                      now);
 }
 
-void call_notes::crash_suspected(std::string const& content, std::string const& server)
+void call_log::crash_suspected(std::string const& content, std::string const& server)
 {
     state_.log.write(event_line{"suspect"}
                          .add("content", content)
@@ -63,7 +63,7 @@
                      boot_clock::now());
 }
 
-void call_notes::call_ended(call_end const& end, admitted_call const& admitted)
+void call_log::call_ended(call_summary const& end, admitted_call const& admitted)
 {
     auto const now = boot_clock::now();
     event_line line{"end"};
--- a/src/serving/call_notes.hpp
+++ b/src/serving/call_notes.hpp
@@ -1,6 +1,6 @@
 // Writes the log lines and counters of one call.
 //
-// Index: 1 call_end, 2 send_failure, 3 send_step, 4 call_notes
+// Index: 1 call_summary, 2 attempt_failure, 3 attempt_plan, 4 call_log
 #ifndef MARIGOLDCRANK_SERVING_CALL_NOTES_HPP
 #define MARIGOLDCRANK_SERVING_CALL_NOTES_HPP
 
@@ -17,7 +17,7 @@
 {
 
 /// How a call ended, for its last log line.
-struct call_end
+struct call_summary
 {
     std::string_view outcome; // "served", or the reason in one word
     unsigned         status = 0;
@@ -28,7 +28,7 @@
 };
 
 /// What is known about a failed attempt.
-struct send_failure
+struct attempt_failure
 {
     std::string_view event; // name of the log line
     std::string_view server;
@@ -38,7 +38,7 @@
 };
 
 /// What an attempt is for, and the work that was expected from it.
-struct send_step
+struct attempt_plan
 {
     std::string_view server;
     std::string_view
@@ -48,22 +48,22 @@
 };
 
 /// Lives as long as its call.
-class call_notes
+class call_log
 {
 public:
-    call_notes(entry_state& state, std::string const& id, boot_clock::time_point arrived);
+    call_log(entry_state& state, std::string const& id, boot_clock::time_point arrived);
 
     /// Logs the start of an attempt, for sampled calls only.
-    void attempt_started(send_step const& step, admitted_call const& admitted);
+    void attempt_started(attempt_plan const& step, admitted_call const& admitted);
 
     /// Logs and counts a failed attempt.
-    void attempt_failed(send_failure const& failure);
+    void attempt_failed(attempt_failure const& failure);
 
     /// Logs that a call with this content may have crashed its server.
     void crash_suspected(std::string const& content, std::string const& server);
 
     /// Logs and counts the end of the call. Served calls are logged only if sampled.
-    void call_ended(call_end const& end, admitted_call const& admitted);
+    void call_ended(call_summary const& end, admitted_call const& admitted);
 
 private:
     entry_state&           state_;
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -1,6 +1,7 @@
 // Serves one call: admits and places it, sends it to servers, relays the response.
 //
-// Index: 1 link_after, 2 call_runner: plain calls, streams, prefill, attempts, ends
+// Index: 1 connection_disposition, 2 call_runner: plain calls, streams, prefill,
+// attempts, ends
 //
 // A call that may not be repeated is sent again only if the server has stated that it did
 // not run it, or if no byte of it was sent. The caller gets 503 only if that holds for
@@ -24,7 +25,7 @@
 {
 
 /// What happens to the caller's connection after a call.
-enum class link_after
+enum class connection_disposition
 {
     keep,
     close,  // gracefully: the response is delivered first
@@ -36,25 +37,26 @@
 class call_runner
 {
 public:
-    call_runner(entry_state& state, caller_link& caller, http_request const& request,
-                caller_call call)
+    call_runner(entry_state& state, caller_connection& caller,
+                http_request const& request, caller_call call)
         : state_(state), caller_(caller), request_(request), call_(std::move(call)),
-          arrived_(boot_clock::now()), notes_(state, call_.id, arrived_),
-          placing_(state, call_, admitted_), pace_(arrived_),
-          keep_(request.keep_alive() && !state.draining),
-          stream_(!keep_, knows_chunks(request)), sends_(state, notes_, call_, admitted_)
+          arrived_(boot_clock::now()), log_(state, call_.id, arrived_),
+          placement_(state, call_, admitted_), timing_(arrived_),
+          keep_alive_(request.keep_alive() && !state.draining),
+          stream_(!keep_alive_, supports_chunks(request)),
+          attempts_(state, log_, call_, admitted_)
     {
     }
 
     /// Serves the call and sends its final response, unless the caller has disconnected.
-    boost::asio::awaitable<link_after> run()
+    boost::asio::awaitable<connection_disposition> run()
     {
         ++state_.calls_in_work;
         auto refusal = admit_call(state_, call_, request_.body(), arrived_, admitted_);
         if (!refusal && has_quota())
         {
-            refusal =
-                co_await state_.quotas->admit(call_, *admitted_.caller_workspace, held_);
+            refusal = co_await state_.quotas->admit(call_, *admitted_.caller_workspace,
+                                                    quota_hold_);
         }
         if (refusal)
         {
@@ -63,7 +65,7 @@
         else
         {
             caller_.watch_disconnect([this] { stop(); });
-            if (streamed() || placing_.reads_prompt())
+            if (is_stream() || placement_.reads_prompt())
             {
                 co_await serve_stream();
             }
@@ -71,42 +73,43 @@
             {
                 co_await serve_plain();
             }
-            caller_.unwatch();
+            caller_.stop_watching();
         }
         --state_.calls_in_work;
-        if (held_.units > 0 && !sends_.history().maybe_run() && state_.quotas != nullptr)
+        if (quota_hold_.units > 0 && !attempts_.history().maybe_run() &&
+            state_.quotas != nullptr)
         {
-            state_.quotas->give_back(held_);
+            state_.quotas->give_back(quota_hold_);
         }
-        note_end();
-        co_return after_;
+        log_end();
+        co_return disposition_;
     }
 
 private:
     using exchange = server_exchange<Dialect>;
 
     /// Sets the exchange that is aborted when the caller disconnects, for its lifetime.
-    struct in_use
+    struct current_exchange_guard
     {
-        in_use(call_runner& owner, exchange& link) : runner(owner)
+        current_exchange_guard(call_runner& owner, exchange& link) : runner(owner)
         {
-            runner.current_ = &link;
+            runner.current_exchange_ = &link;
         }
 
-        ~in_use()
+        ~current_exchange_guard()
         {
-            runner.current_ = nullptr;
+            runner.current_exchange_ = nullptr;
         }
 
-        in_use(in_use const&) = delete;
-        in_use& operator=(in_use const&) = delete;
+        current_exchange_guard(current_exchange_guard const&) = delete;
+        current_exchange_guard& operator=(current_exchange_guard const&) = delete;
 
         call_runner& runner;
     };
 
     static constexpr unsigned first_server_error = 500;
     // 2000  ms; a caller that doesn't take a response for this long is disconnected
-    static constexpr millis write_time{2000};
+    static constexpr millis write_timeout{2000};
 
     // Kinds of calls
 
@@ -116,7 +119,7 @@
                admitted_.caller_workspace->quota && state_.quotas != nullptr;
     }
 
-    bool streamed() const
+    bool is_stream() const
     {
         return admitted_.matched->kind == call_kind::stream;
     }
@@ -125,27 +128,27 @@
 
     boost::asio::awaitable<void> serve_plain()
     {
-        while (!caller_.has_left())
+        while (!caller_.check_disconnected())
         {
-            auto const  candidates = sends_.servers_to_try();
+            auto const  candidates = attempts_.servers_to_try();
             auto const* server =
                 place_plain(candidates, state_.settings.data_centre, state_.ticket());
-            if (server == nullptr || !sends_.may_send())
+            if (server == nullptr || !attempts_.may_start_attempt())
             {
-                co_return co_await give_up();
+                co_return co_await end_without_server();
             }
-            exchange   link{state_, *server};
-            in_use     use{*this, link};
-            load_share share{state_, server->id, 0};
-            notes_.attempt_started({server->id, "call", sends_.history().runs(), {}},
-                                   admitted_);
-            sends_.record_start(server->id);
-            auto const fate = co_await run_at(link, {}, sends_.attempt_end());
+            exchange               link{state_, *server};
+            current_exchange_guard use{*this, link};
+            load_share             share{state_, server->id, 0};
+            log_.attempt_started({server->id, "call", attempts_.history().runs(), {}},
+                                 admitted_);
+            attempts_.record_start(server->id);
+            auto const fate = co_await send_call(link, {}, attempts_.attempt_deadline());
             if (caller_.disconnected())
             {
                 co_return;
             }
-            sends_.record_result(result_of(link, fate));
+            attempts_.record_result(result_of(link, fate));
             if (fate != exchange_fate::answered)
             {
                 continue;
@@ -164,10 +167,11 @@
         bool const  head_only = request_.method_string() == "HEAD";
         if (!head_only)
         {
-            bool const whole = co_await link.read_whole(body, sends_.attempt_end());
+            bool const whole =
+                co_await link.read_complete_body(body, attempts_.attempt_deadline());
             if (!whole && !caller_.disconnected())
             {
-                sends_.record_result(result_of(link, exchange_fate::unknown));
+                attempts_.record_result(result_of(link, exchange_fate::unknown));
             }
             if (!whole)
             {
@@ -175,7 +179,7 @@
             }
         }
         auto const status = link.facts().status;
-        auto       bytes = format_answer(link.head(), body, !keep_, head_only);
+        auto       bytes = format_response(link.head(), body, !keep_alive_, head_only);
         count_usage();
         if (status < first_server_error)
         {
@@ -185,14 +189,14 @@
             co_return true;
         }
         // The server's own failure is the response if no other server serves the call.
-        sends_.settle_failure(result_of(link, exchange_fate::answered));
-        kept_failure_ = std::move(bytes);
-        kept_status_ = status;
-        if (sends_.may_send_again())
+        attempts_.record_server_failure(result_of(link, exchange_fate::answered));
+        server_failure_ = std::move(bytes);
+        server_failure_status_ = status;
+        if (attempts_.may_retry())
         {
             co_return false;
         }
-        co_await give_up();
+        co_await end_without_server();
         co_return true;
     }
 
@@ -200,42 +204,43 @@
 
     boost::asio::awaitable<void> serve_stream()
     {
-        placing_.count_demand(arrived_);
-        while (!caller_.has_left())
+        placement_.count_demand(arrived_);
+        while (!caller_.check_disconnected())
         {
-            auto const first = placing_.choose_first(sends_.servers_to_try(),
-                                                     !prefilled_ && !stream_.started());
-            if (!first || !sends_.may_send())
+            auto const first = placement_.choose_first(
+                attempts_.servers_to_try(), !prefill_attempted_ && !stream_.started());
+            if (!first || !attempts_.may_start_attempt())
             {
-                co_return co_await give_up();
+                co_return co_await end_without_server();
             }
-            auto const back = judged_ ? std::nullopt : placing_.too_late(*first);
-            judged_ = true;
+            auto const back =
+                wait_checked_ ? std::nullopt : placement_.queue_retry_after(*first);
+            wait_checked_ = true;
             if (back)
             {
-                own_reply const refusal{503, call_fate::not_run, "queue", back};
+                own_response const refusal{503, call_fate::not_run, "queue", back};
                 co_return co_await send_own_response(refusal);
             }
             auto decode_server =
                 *first->server; // copies: the server list may change during I/O
-            backend_server reader;
+            backend_server prefill_server;
             std::string    source;
             auto           planned = *first;
             fetch_from_ = address_of(first->fetch_from);
             if (first->prefill_only)
             {
-                prefilled_ = true;
-                reader = decode_server;
-                source = co_await read_prompt(reader, planned);
+                prefill_attempted_ = true;
+                prefill_server = decode_server;
+                source = co_await run_prefill(prefill_server, planned);
                 // The plan points to servers that may have been removed meanwhile.
                 planned = placement{.unread = source.empty() ? planned.unread : 0};
-                if (!caller_.has_left() && !choose_decode(decode_server))
+                if (!caller_.check_disconnected() && !choose_decode_server(decode_server))
                 {
-                    co_await give_up();
+                    co_await end_without_server();
                 }
-                if (caller_.disconnected() || !end_.empty())
+                if (caller_.disconnected() || !outcome_.empty())
                 {
-                    release(reader, source);
+                    release(prefill_server, source);
                     co_return;
                 }
             }
@@ -243,20 +248,20 @@
             {
                 co_return;
             }
-            release(reader, source);
+            release(prefill_server, source);
         }
     }
 
     /// Chooses the engine that runs the call after its prefill, also after a failed one.
     /// Returns false if there is none.
-    bool choose_decode(backend_server& decode_server)
+    bool choose_decode_server(backend_server& decode_server)
     {
-        if (!sends_.may_run_after_read())
+        if (!attempts_.may_run_after_prefill())
         {
             return false;
         }
-        auto const  candidates = sends_.servers_to_try();
-        auto const* server = placing_.takeover(candidates);
+        auto const  candidates = attempts_.servers_to_try();
+        auto const* server = placement_.choose_decode_engine(candidates);
         if (server != nullptr)
         {
             decode_server = *server;
@@ -266,16 +271,16 @@
 
     /// Runs the prefill at `server`. Returns where the KV cache is (ADDRESS/HANDLE), or
     /// an empty string if the prefill failed.
-    boost::asio::awaitable<std::string> read_prompt(backend_server server,
+    boost::asio::awaitable<std::string> run_prefill(backend_server server,
                                                     placement      placed)
     {
-        exchange   link{state_, server};
-        in_use     use{*this, link};
-        load_share share{state_, server.id, placed.unread};
-        notes_.attempt_started({server.id, "prompt", sends_.history().runs(), placed},
-                               admitted_);
-        placing_.record_attempt(server.id, placed);
-        auto const until = placing_.reading_end(placed);
+        exchange               link{state_, server};
+        current_exchange_guard use{*this, link};
+        load_share             share{state_, server.id, placed.unread};
+        log_.attempt_started({server.id, "prompt", attempts_.history().runs(), placed},
+                             admitted_);
+        placement_.record_attempt(server.id, placed);
+        auto const until = placement_.prefill_deadline(placed);
         auto const began = boot_clock::now();
         auto       message = attempt_options_for(server);
         message.prefill_only = true;
@@ -286,19 +291,19 @@
         bool answered = fate == exchange_fate::answered && link.facts().status == ok;
         if (answered)
         {
-            answered = co_await link.read_whole(body, until);
+            answered = co_await link.read_complete_body(body, until);
         }
         auto const handle = answered ? Dialect::read_handle(body) : std::nullopt;
         if (!handle)
         {
             if (!caller_.disconnected())
             {
-                sends_.settle_read(result_of(link, fate));
+                attempts_.record_failed_prefill(result_of(link, fate));
             }
             co_return std::string{};
         }
         state_.health.succeeded(server.id);
-        placing_.record_prefill(placed, boot_clock::now() - began);
+        placement_.record_prefill(placed, boot_clock::now() - began);
         co_return address_of(&server) + "/" + *handle;
     }
 
@@ -307,24 +312,25 @@
     boost::asio::awaitable<bool> run_stream(backend_server     server,
                                             std::string const& source, placement planned)
     {
-        exchange   link{state_, server};
-        in_use     use{*this, link};
-        load_share share{state_, server.id, planned.unread};
-        notes_.attempt_started({server.id, source.empty() ? "call" : "run",
-                                sends_.history().runs(), planned},
-                               admitted_);
-        placing_.record_attempt(server.id, planned);
-        run_sent_ = boot_clock::now();
-        run_planned_ = planned;
-        sends_.record_start(server.id);
-        auto const until =
-            sends_.is_last() ? admitted_.deadline : placing_.first_event_end(planned);
-        auto const fate = co_await run_at(link, source, until);
+        exchange               link{state_, server};
+        current_exchange_guard use{*this, link};
+        load_share             share{state_, server.id, planned.unread};
+        log_.attempt_started({server.id, source.empty() ? "call" : "run",
+                              attempts_.history().runs(), planned},
+                             admitted_);
+        placement_.record_attempt(server.id, planned);
+        run_sent_at_ = boot_clock::now();
+        run_plan_ = planned;
+        attempts_.record_start(server.id);
+        auto const until = attempts_.is_last_server()
+                               ? admitted_.deadline
+                               : placement_.first_event_deadline(planned);
+        auto const fate = co_await send_call(link, source, until);
         if (caller_.disconnected())
         {
             co_return true;
         }
-        sends_.record_result(result_of(link, fate));
+        attempts_.record_result(result_of(link, fate));
         if (fate != exchange_fate::answered)
         {
             co_return false;
@@ -335,7 +341,7 @@
         {
             if (stream_.started())
             {
-                co_return co_await break_off("resume_refused");
+                co_return co_await abort_stream("resume_refused");
             }
             co_return co_await relay_plain(link);
         }
@@ -357,7 +363,7 @@
                 co_return true;
             }
             bool const whole = step == body_step::whole;
-            if (!co_await pass_on(link, bytes, whole))
+            if (!co_await relay_complete_events(link, bytes, whole))
             {
                 co_return true;
             }
@@ -367,29 +373,29 @@
             end_stream(link);
             co_return true;
         }
-        sends_.record_result(result_of(link, exchange_fate::unknown));
-        if (stream_.started() && !sends_.may_send_again())
+        attempts_.record_result(result_of(link, exchange_fate::unknown));
+        if (stream_.started() && !attempts_.may_retry())
         {
-            co_return co_await break_off(sends_.fault());
+            co_return co_await abort_stream(attempts_.fault());
         }
         co_return false;
     }
 
     /// Writes the events that `bytes` completes. Returns false if the write fails.
-    boost::asio::awaitable<bool> pass_on(exchange& link, std::string const& bytes,
-                                         bool whole)
+    boost::asio::awaitable<bool>
+    relay_complete_events(exchange& link, std::string const& bytes, bool whole)
     {
         bool const began = stream_.started();
         auto const events = stream_.pieces();
         auto const out = stream_.take(link.head(), bytes, whole);
         if (stream_.pieces() > events)
         {
-            pace_.record_events(boot_clock::now());
+            timing_.record_events(boot_clock::now());
         }
         if (stream_.started() && !began)
         {
-            state_.counters.observe("first_event_seconds", pace_.time_to_first_event());
-            learn_from_first_event();
+            state_.counters.observe("first_event_seconds", timing_.time_to_first_event());
+            record_first_event_time();
             status_ = link.facts().status;
             count_usage();
         }
@@ -402,17 +408,17 @@
 
     /// Records the time to the first event, as a colocated prefill or as a handoff.
     /// Retries and mixed cases are left out.
-    void learn_from_first_event()
+    void record_first_event_time()
     {
-        auto const took = boot_clock::now() - run_sent_;
-        bool const plain = placing_.reads_prompt() && sends_.history().runs() == 1;
-        if (plain && run_planned_.unread > 0 && !prefilled_)
+        auto const took = boot_clock::now() - run_sent_at_;
+        bool const plain = placement_.reads_prompt() && attempts_.history().runs() == 1;
+        if (plain && run_plan_.unread > 0 && !prefill_attempted_)
         {
-            placing_.record_colocated_prefill(run_planned_, took);
+            placement_.record_colocated_prefill(run_plan_, took);
         }
-        else if (plain && run_planned_.unread == 0 && prefilled_)
+        else if (plain && run_plan_.unread == 0 && prefill_attempted_)
         {
-            placing_.record_handoff(took);
+            placement_.record_handoff(took);
         }
     }
 
@@ -421,24 +427,26 @@
         auto const now = boot_clock::now();
         state_.health.succeeded(link.server().id);
         state_.crashes.answered(admitted_.content, now);
-        placing_.record_stream(stream_.pieces(), now - pace_.first(),
-                               pace_.longest_pause());
-        state_.counters.observe("longest_pause_seconds", pace_.longest_pause());
-        end_ = "served";
-        after_ = keep_ && knows_chunks(request_) ? link_after::keep : link_after::close;
+        placement_.record_stream(stream_.pieces(), now - timing_.first(),
+                                 timing_.longest_pause());
+        state_.counters.observe("longest_pause_seconds", timing_.longest_pause());
+        outcome_ = "served";
+        disposition_ = keep_alive_ && supports_chunks(request_)
+                           ? connection_disposition::keep
+                           : connection_disposition::close;
     }
 
     /// Resets a stream that can't continue, so that it doesn't appear to be complete.
-    boost::asio::awaitable<bool> break_off(std::string_view cause)
+    boost::asio::awaitable<bool> abort_stream(std::string_view cause)
     {
-        end_ = "broken_off";
-        sends_.fault(cause);
+        outcome_ = "broken_off";
+        attempts_.fault(cause);
         caller_.abort();
-        after_ = link_after::aborted;
+        disposition_ = connection_disposition::aborted;
         co_return true;
     }
 
-    static bool knows_chunks(http_request const& request)
+    static bool supports_chunks(http_request const& request)
     {
         constexpr unsigned http_1_1 = 11;
         return request.version() >= http_1_1;
@@ -461,7 +469,7 @@
     /// Sends the call to be run. `source` is where the KV cache of its prompt is; empty
     /// if no other engine has prefilled it.
     boost::asio::awaitable<exchange_fate>
-    run_at(exchange& link, std::string const& source, loop_time until)
+    send_call(exchange& link, std::string const& source, loop_time until)
     {
         auto message = attempt_options_for(link.server());
         message.cache_source = source;
@@ -470,17 +478,17 @@
     }
 
     boost::asio::awaitable<exchange_fate>
-    send_message(exchange& link, onward_call message, bool for_us, loop_time until)
+    send_message(exchange& link, onward_call message, bool internal, loop_time until)
     {
         exchange_request request{.message = Dialect::build_onward(request_, message),
                                  .call_id = call_.id,
-                                 .careful = !admitted_.repeatable && !for_us,
-                                 .for_us = for_us,
+                                 .not_repeatable = !admitted_.repeatable && !internal,
+                                 .internal = internal,
                                  .until = until};
         co_return co_await link.start(std::move(request));
     }
 
-    static send_result result_of(exchange& link, exchange_fate fate)
+    static attempt_result result_of(exchange& link, exchange_fate fate)
     {
         return {.server = link.server().id,
                 .fate = fate,
@@ -496,9 +504,9 @@
 
     void stop()
     {
-        if (current_ != nullptr)
+        if (current_exchange_ != nullptr)
         {
-            current_->stop();
+            current_exchange_->stop();
         }
     }
 
@@ -518,100 +526,102 @@
 
     /// Ends a call that no further attempt is allowed for: with a server's own failure if
     /// there is one, else with 502 or 504 if the call may have run, else with 503.
-    boost::asio::awaitable<void> give_up()
+    boost::asio::awaitable<void> end_without_server()
     {
         if (stream_.started())
         {
-            co_await break_off(sends_.fault());
+            co_await abort_stream(attempts_.fault());
             co_return;
         }
-        if (!kept_failure_.empty())
+        if (!server_failure_.empty())
         {
-            co_return co_await send_response(std::move(kept_failure_), kept_status_);
+            co_return co_await send_response(std::move(server_failure_),
+                                             server_failure_status_);
         }
-        bool const late = !sends_.time_left();
-        if (sends_.history().maybe_run())
+        bool const late = !attempts_.time_left();
+        if (attempts_.history().maybe_run())
         {
-            own_reply const unknown{late ? 504U : 502U, call_fate::outcome_unknown,
-                                    sends_.fault(), std::nullopt};
+            own_response const unknown{late ? 504U : 502U, call_fate::outcome_unknown,
+                                       attempts_.fault(), std::nullopt};
             co_return co_await send_own_response(unknown);
         }
-        own_reply const refusal{503, call_fate::not_run, sends_.fault(), soon};
+        own_response const refusal{503, call_fate::not_run, attempts_.fault(),
+                                   refusal_retry_after};
         co_await send_own_response(refusal);
     }
 
-    boost::asio::awaitable<void> send_own_response(own_reply value)
+    boost::asio::awaitable<void> send_own_response(own_response value)
     {
         status_ = value.status;
-        end_ = value.cause.empty() ? "refused" : value.cause;
-        state_.counters.add("refusals_total", "cause=\"" + std::string{end_} +
+        outcome_ = value.cause.empty() ? "refused" : value.cause;
+        state_.counters.add("refusals_total", "cause=\"" + std::string{outcome_} +
                                                   "\",status=\"" +
                                                   std::to_string(value.status) + "\"");
-        co_await write_out(format_reply(value, !keep_));
+        co_await write_out(format_own_response(value, !keep_alive_));
     }
 
     boost::asio::awaitable<void> send_response(std::string bytes, unsigned status)
     {
         status_ = status;
-        end_ = "served";
+        outcome_ = "served";
         return write_out(std::move(bytes));
     }
 
     boost::asio::awaitable<void> write_out(std::string bytes)
     {
         bool const written =
-            co_await caller_.write(bytes, loop_clock::now() + write_time);
-        after_ = !written ? link_after::aborted
-                 : keep_  ? link_after::keep
-                          : link_after::close;
+            co_await caller_.write(bytes, loop_clock::now() + write_timeout);
+        disposition_ = !written      ? connection_disposition::aborted
+                       : keep_alive_ ? connection_disposition::keep
+                                     : connection_disposition::close;
     }
 
     void count_usage()
     {
-        if (admitted_.caller_workspace != nullptr && !counted_)
+        if (admitted_.caller_workspace != nullptr && !usage_counted_)
         {
-            counted_ = true;
+            usage_counted_ = true;
             state_.usage.add(admitted_.caller_workspace->name, state_.day_ms());
         }
     }
 
-    void note_end()
+    void log_end()
     {
-        if (caller_.disconnected() && end_.empty())
+        if (caller_.disconnected() && outcome_.empty())
         {
-            end_ = "caller_left";
-            after_ = link_after::aborted;
+            outcome_ = "caller_left";
+            disposition_ = connection_disposition::aborted;
         }
-        notes_.call_ended({end_, status_, sends_.history().runs(), sends_.fault(),
-                           sends_.last_server(), pace_},
-                          admitted_);
+        log_.call_ended({outcome_, status_, attempts_.history().runs(), attempts_.fault(),
+                         attempts_.last_server(), timing_},
+                        admitted_);
     }
 
     entry_state&           state_;
-    caller_link&           caller_;
+    caller_connection&     caller_;
     http_request const&    request_;
     caller_call            call_;
     boot_clock::time_point arrived_;
-    call_notes             notes_;
+    call_log               log_;
     admitted_call          admitted_;
-    model_placing          placing_;
-    stream_pace            pace_;
-    bool                   keep_;
+    model_placement        placement_;
+    stream_timing          timing_;
+    bool                   keep_alive_;
     stream_relay           stream_;
-    call_sends             sends_;
-    bool                   judged_ = false;
-    bool                   prefilled_ = false;
-    bool                   counted_ = false;
-    quota_hold             held_;
-    std::string            kept_failure_; // a server's own failure, as formatted bytes
-    unsigned               kept_status_ = 0;
-    boot_clock::time_point run_sent_{};
-    placement              run_planned_; // of the latest attempt; its pointers may dangle
+    call_attempts          attempts_;
+    bool                   wait_checked_ = false;
+    bool                   prefill_attempted_ = false;
+    bool                   usage_counted_ = false;
+    quota_hold             quota_hold_;
+    std::string            server_failure_; // a server's own failure, as formatted bytes
+    unsigned               server_failure_status_ = 0;
+    boot_clock::time_point run_sent_at_{};
+    placement              run_plan_; // of the latest attempt; its pointers may dangle
     std::string fetch_from_; // address of an engine that has parts of the prompt cached
-    std::string_view end_;
-    unsigned         status_ = 0;
-    exchange*        current_ = nullptr;
-    link_after       after_ = link_after::close;
+    std::string_view       outcome_;
+    unsigned               status_ = 0;
+    exchange*              current_exchange_ = nullptr;
+    connection_disposition disposition_ = connection_disposition::close;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/call_sends.cpp
+++ b/src/serving/call_sends.cpp
@@ -8,17 +8,17 @@
 {
 
 // 20  ms; with less time left no server can respond before the deadline
-constexpr millis least_left{20};
+constexpr millis min_time_left{20};
 
 } // namespace
 
-call_sends::call_sends(entry_state& state, call_notes& notes, caller_call const& call,
-                       admitted_call const& admitted)
-    : state_(state), notes_(notes), call_(call), admitted_(admitted)
+call_attempts::call_attempts(entry_state& state, call_log& notes, caller_call const& call,
+                             admitted_call const& admitted)
+    : state_(state), log_(notes), call_(call), admitted_(admitted)
 {
 }
 
-std::vector<candidate> call_sends::servers_to_try()
+std::vector<candidate> call_attempts::servers_to_try()
 {
     auto const now = boot_clock::now();
     auto       untried = state_.candidates(admitted_.service_name, tried_, now);
@@ -26,24 +26,24 @@
     return untried.empty() ? state_.candidates(admitted_.service_name, {}, now) : untried;
 }
 
-bool call_sends::may_send()
+bool call_attempts::may_start_attempt()
 {
     if (!time_left())
     {
         last_fault_ = "deadline";
         return false;
     }
-    return account_.allows(terms()) && (!account_.is_retry() || take_retry());
+    return history_.allows(terms()) && (!history_.is_retry() || take_retry());
 }
 
-bool call_sends::may_send_again() const
+bool call_attempts::may_retry() const
 {
-    return account_.allows(terms()) && time_left();
+    return history_.allows(terms()) && time_left();
 }
 
-bool call_sends::may_run_after_read()
+bool call_attempts::may_run_after_prefill()
 {
-    if (read_failed_ && !take_retry())
+    if (prefill_failed_ && !take_retry())
     {
         return false;
     }
@@ -55,35 +55,35 @@
     return true;
 }
 
-bool call_sends::time_left() const
+bool call_attempts::time_left() const
 {
-    return admitted_.deadline - loop_clock::now() >= least_left;
+    return admitted_.deadline - loop_clock::now() >= min_time_left;
 }
 
-bool call_sends::is_last() const
+bool call_attempts::is_last_server() const
 {
-    return !admitted_.repeatable || account_.runs() >= admitted_.matched->max_servers ||
+    return !admitted_.repeatable || history_.runs() >= admitted_.matched->max_servers ||
            !more_servers_;
 }
 
-loop_time call_sends::attempt_end() const
+loop_time call_attempts::attempt_deadline() const
 {
     auto const now = loop_clock::now();
-    return is_last() ? admitted_.deadline : now + (admitted_.deadline - now) / 2;
+    return is_last_server() ? admitted_.deadline : now + (admitted_.deadline - now) / 2;
 }
 
-void call_sends::record_start(std::string const& server)
+void call_attempts::record_start(std::string const& server)
 {
-    account_.begin();
+    history_.begin();
     last_server_ = server;
 }
 
-send_terms call_sends::terms() const
+send_terms call_attempts::terms() const
 {
     return {admitted_.repeatable, admitted_.matched->max_servers};
 }
 
-bool call_sends::take_retry()
+bool call_attempts::take_retry()
 {
     bool const granted = state_.budget(admitted_.service_name).take();
     state_.counters.add(granted ? "retries_total" : "retries_denied_total");
@@ -94,43 +94,43 @@
     return granted;
 }
 
-void call_sends::record_result(send_result const& result)
+void call_attempts::record_result(attempt_result const& result)
 {
-    account_.end(result.fate);
+    history_.end(result.fate);
     if (result.fate == exchange_fate::answered)
     {
         return;
     }
     tried_.insert(result.server);
     last_fault_ = result.fault.empty() ? "broken" : result.fault;
-    note_health(result);
+    report_health(result);
     if (result.fate == exchange_fate::unknown)
     {
         report_suspected_crash(result.server);
     }
-    note_failure("send_failed", result);
+    log_failure("send_failed", result);
 }
 
-void call_sends::settle_failure(send_result const& result)
+void call_attempts::record_server_failure(attempt_result const& result)
 {
     tried_.insert(result.server);
     last_fault_ = "server_error";
     state_.health.failed(result.server, false, boot_clock::now());
-    note_failure("server_error", result);
+    log_failure("server_error", result);
 }
 
-void call_sends::settle_read(send_result const& result)
+void call_attempts::record_failed_prefill(attempt_result const& result)
 {
-    note_health(result);
+    report_health(result);
     if (result.fate != exchange_fate::not_sent)
     {
-        account_.read_failed();
-        read_failed_ = true;
+        history_.read_failed();
+        prefill_failed_ = true;
     }
-    note_failure("prefill_failed", result);
+    log_failure("prefill_failed", result);
 }
 
-void call_sends::note_health(send_result const& result)
+void call_attempts::report_health(attempt_result const& result)
 {
     constexpr unsigned misdirected = 421;
     auto const         now = boot_clock::now();
@@ -148,7 +148,7 @@
     }
 }
 
-void call_sends::report_suspected_crash(std::string const& server)
+void call_attempts::report_suspected_crash(std::string const& server)
 {
     auto const listed = state_.servers.servers().find(server);
     bool const leaving =
@@ -158,17 +158,17 @@
     bool const ended = last_fault_ == "broken";
     if (ended && !leaving && state_.crashes.crashed(crash, boot_clock::now()))
     {
-        notes_.crash_suspected(crash.content, crash.server);
+        log_.crash_suspected(crash.content, crash.server);
     }
 }
 
-void call_sends::note_failure(std::string_view event, send_result const& result)
+void call_attempts::log_failure(std::string_view event, attempt_result const& result)
 {
-    notes_.attempt_failed({.event = event,
-                           .server = result.server,
-                           .fate = result.fate,
-                           .fault = result.fault,
-                           .status = result.status});
+    log_.attempt_failed({.event = event,
+                         .server = result.server,
+                         .fate = result.fate,
+                         .fault = result.fault,
+                         .status = result.status});
 }
 
 } // namespace marigoldcrank
--- a/src/serving/call_sends.hpp
+++ b/src/serving/call_sends.hpp
@@ -1,6 +1,6 @@
 // The attempts of one call: where the next one may go, and how earlier ones ended.
 //
-// Index: 1 send_result, 2 call_sends
+// Index: 1 attempt_result, 2 call_attempts
 #ifndef MARIGOLDCRANK_SERVING_CALL_SENDS_HPP
 #define MARIGOLDCRANK_SERVING_CALL_SENDS_HPP
 
@@ -17,7 +17,7 @@
 {
 
 /// How one attempt ended.
-struct send_result
+struct attempt_result
 {
     std::string   server;
     exchange_fate fate = exchange_fate::unknown;
@@ -29,11 +29,11 @@
 /// Decides on attempts from the rules, the deadline, the service's retry budget and the
 /// results so far, and reports results to the server health and the crash detection.
 /// Lives as long as its call. Does no I/O except for log lines.
-class call_sends
+class call_attempts
 {
 public:
-    call_sends(entry_state& state, call_notes& notes, caller_call const& call,
-               admitted_call const& admitted);
+    call_attempts(entry_state& state, call_log& notes, caller_call const& call,
+                  admitted_call const& admitted);
 
     // Before an attempt
 
@@ -43,24 +43,24 @@
 
     /// Decides whether an attempt starts now, from the time left, the earlier attempts
     /// and the retry budget. A retry is taken from the budget.
-    bool may_send();
+    bool may_start_attempt();
 
     /// Whether another attempt is possible, apart from the retry budget.
-    bool may_send_again() const;
+    bool may_retry() const;
 
     /// Whether the call may run after its prefill. A failed prefill may have reached a
     /// server, so the run counts as a retry.
-    bool may_run_after_read();
+    bool may_run_after_prefill();
 
     /// Whether the deadline leaves a server enough time to respond.
     bool time_left() const;
 
     /// Whether no further server may run the call after the current one.
-    bool is_last() const;
+    bool is_last_server() const;
 
     /// Deadline of the current attempt. If another server may run the call, half of the
     /// remaining time is left for it; else the attempt may take all of it.
-    loop_time attempt_end() const;
+    loop_time attempt_deadline() const;
 
     /// Records that the call is sent to `server` to be run.
     void record_start(std::string const& server);
@@ -69,14 +69,14 @@
 
     /// Records how an attempt to run the call ended. Also called for an attempt whose
     /// response was interrupted after its head.
-    void record_result(send_result const& result);
+    void record_result(attempt_result const& result);
 
     /// Records that a server responded with a failure of its own (status 500 or above).
-    void settle_failure(send_result const& result);
+    void record_server_failure(attempt_result const& result);
 
     /// Records a prefill that returned no handle. Unless no byte of it was sent, it
     /// counts as an arrival, since it isn't known whether the server took it.
-    void settle_read(send_result const& result);
+    void record_failed_prefill(attempt_result const& result);
 
     /// Sets the reason that is reported if the call ends now.
     void fault(std::string_view cause) noexcept
@@ -97,7 +97,7 @@
 
     send_account const& history() const noexcept
     {
-        return account_;
+        return history_;
     }
 
 private:
@@ -106,22 +106,22 @@
     bool take_retry();
 
     /// Reports a failed attempt to the health of its server.
-    void note_health(send_result const& result);
+    void report_health(attempt_result const& result);
 
     /// Reports that the call may have crashed `server`. Only a connection that broke
     /// counts: not a timeout, and not a server that is leaving or unlisted.
     void report_suspected_crash(std::string const& server);
 
-    void note_failure(std::string_view event, send_result const& result);
+    void log_failure(std::string_view event, attempt_result const& result);
 
     entry_state&          state_;
-    call_notes&           notes_;
+    call_log&             log_;
     caller_call const&    call_;
     admitted_call const&  admitted_;
-    send_account          account_;
+    send_account          history_;
     std::set<std::string> tried_;
-    bool more_servers_ = false; // another server can be tried after the current one
-    bool read_failed_ = false;  // a prefill was sent and returned no handle
+    bool more_servers_ = false;   // another server can be tried after the current one
+    bool prefill_failed_ = false; // a prefill was sent and returned no handle
     std::string_view last_fault_ = "no_server";
     std::string      last_server_;
 };
--- a/src/serving/caller_link.cpp
+++ b/src/serving/caller_link.cpp
@@ -19,11 +19,11 @@
 
 // 100  ms; interval of checks for a disconnect during a call. Readiness of the socket
 //      isn't enough: pipelined bytes keep it readable and hide the disconnect
-constexpr millis look_again{100};
+constexpr millis check_interval{100};
 // 1000  ms and 256 KiB; limits of reading a caller's remaining bytes before the close
-constexpr millis      linger_time{1000};
+constexpr millis      linger_timeout{1000};
 constexpr std::size_t linger_bytes = 262144;
-constexpr std::size_t linger_piece = 4096;
+constexpr std::size_t linger_chunk = 4096;
 
 /// True if the peer has closed or reset the connection, even behind unread bytes.
 bool closed_by_peer(int handle)
@@ -35,13 +35,13 @@
 
 } // namespace
 
-caller_link::caller_link(tcp::socket socket)
-    : stream_(std::move(socket)), again_(stream_.get_executor())
+caller_connection::caller_connection(tcp::socket socket)
+    : stream_(std::move(socket)), check_timer_(stream_.get_executor())
 {
-    set_link_options(stream_.socket(), connection_options{});
+    set_tcp_options(stream_.socket(), tcp_options{});
 }
 
-asio::awaitable<bool> caller_link::write(std::string_view bytes, loop_time until)
+asio::awaitable<bool> caller_connection::write(std::string_view bytes, loop_time until)
 {
     stream_.expires_at(until);
     error_code error;
@@ -54,26 +54,26 @@
     co_return !error;
 }
 
-void caller_link::watch_disconnect(std::function<void()> on_disconnect)
+void caller_connection::watch_disconnect(std::function<void()> on_disconnect)
 {
     ++watch_number_;
     on_disconnect_ = std::move(on_disconnect);
-    look_later();
+    schedule_check();
 }
 
-void caller_link::unwatch()
+void caller_connection::stop_watching()
 {
     ++watch_number_;
     on_disconnect_ = nullptr;
-    again_.cancel();
+    check_timer_.cancel();
 }
 
-bool caller_link::disconnected() const noexcept
+bool caller_connection::disconnected() const noexcept
 {
     return disconnected_;
 }
 
-bool caller_link::has_left()
+bool caller_connection::check_disconnected()
 {
     if (!disconnected_ &&
         (!stream_.socket().is_open() || closed_by_peer(stream_.socket().native_handle())))
@@ -83,10 +83,10 @@
     return disconnected_;
 }
 
-void caller_link::look_later()
+void caller_connection::schedule_check()
 {
-    again_.expires_after(look_again);
-    again_.async_wait(
+    check_timer_.expires_after(check_interval);
+    check_timer_.async_wait(
         [self = shared_from_this(), own = watch_number_](error_code const& error)
         {
             if (!error && own == self->watch_number_)
@@ -96,15 +96,15 @@
         });
 }
 
-void caller_link::check()
+void caller_connection::check()
 {
-    if (!has_left())
+    if (!check_disconnected())
     {
-        look_later();
+        schedule_check();
     }
 }
 
-void caller_link::handle_disconnect()
+void caller_connection::handle_disconnect()
 {
     disconnected_ = true;
     if (auto const callback = std::exchange(on_disconnect_, nullptr))
@@ -113,36 +113,36 @@
     }
 }
 
-void caller_link::abort()
+void caller_connection::abort()
 {
     error_code ignored; // the connection is dropped either way
     stream_.socket().set_option(asio::socket_base::linger(true, 0), ignored);
     stream_.socket().close(ignored);
 }
 
-asio::awaitable<void> caller_link::finish()
+asio::awaitable<void> caller_connection::close_gracefully()
 {
     error_code error;
     stream_.socket().shutdown(tcp::socket::shutdown_send, error);
     std::size_t read = 0;
-    stream_.expires_after(linger_time);
+    stream_.expires_after(linger_timeout);
     while (!error && read < linger_bytes)
     {
         buffer_.clear();
         read += co_await stream_.async_read_some(
-            buffer_.prepare(linger_piece),
+            buffer_.prepare(linger_chunk),
             asio::redirect_error(asio::use_awaitable, error));
     }
     error_code ignored; // it may be closed already
     stream_.socket().close(ignored);
 }
 
-boost::beast::tcp_stream& caller_link::stream() noexcept
+boost::beast::tcp_stream& caller_connection::stream() noexcept
 {
     return stream_;
 }
 
-boost::beast::flat_buffer& caller_link::buffer() noexcept
+boost::beast::flat_buffer& caller_connection::buffer() noexcept
 {
     return buffer_;
 }
--- a/src/serving/caller_link.hpp
+++ b/src/serving/caller_link.hpp
@@ -1,6 +1,6 @@
 // A caller's connection: writes responses and detects that the caller has disconnected.
 //
-// Index: caller_link
+// Index: caller_connection
 #ifndef MARIGOLDCRANK_SERVING_CALLER_LINK_HPP
 #define MARIGOLDCRANK_SERVING_CALLER_LINK_HPP
 
@@ -18,10 +18,10 @@
 {
 
 /// The connection is shared by its session and the call in progress.
-class caller_link : public std::enable_shared_from_this<caller_link>
+class caller_connection : public std::enable_shared_from_this<caller_connection>
 {
 public:
-    explicit caller_link(boost::asio::ip::tcp::socket socket);
+    explicit caller_connection(boost::asio::ip::tcp::socket socket);
 
     /// Writes all bytes. Returns false if the caller has disconnected or hasn't taken
     /// them by `until`.
@@ -30,32 +30,32 @@
     /// Calls `on_disconnect` once if the caller closes its side before `unwatch` is
     /// called.
     void watch_disconnect(std::function<void()> on_disconnect);
-    void unwatch();
+    void stop_watching();
     /// Whether a disconnect has been detected so far.
     bool disconnected() const noexcept;
 
     /// Checks the socket now. An overloaded VM may read a call a second late; it must not
     /// forward the call if its caller has disconnected by then.
-    bool has_left();
+    bool check_disconnected();
 
     /// Resets the connection, so that the caller can't take the response for complete.
     void abort();
 
     /// Closes the connection gracefully: sends FIN, then reads until the caller closes.
     /// Closing with unread bytes would reset the connection and could lose the response.
-    boost::asio::awaitable<void> finish();
+    boost::asio::awaitable<void> close_gracefully();
 
     boost::beast::tcp_stream&  stream() noexcept;
     boost::beast::flat_buffer& buffer() noexcept;
 
 private:
-    void look_later();
+    void schedule_check();
     void check();
     void handle_disconnect();
 
     boost::beast::tcp_stream  stream_;
     boost::beast::flat_buffer buffer_;
-    boost::asio::steady_timer again_;
+    boost::asio::steady_timer check_timer_;
     std::function<void()>     on_disconnect_;
     std::uint64_t             watch_number_ =
         0; // number of the watch; timers of earlier ones are ignored
--- a/src/serving/caller_session.hpp
+++ b/src/serving/caller_session.hpp
@@ -19,7 +19,7 @@
 
 /// Connections that wait for a request. A drain closes them once the load balancer has
 /// noticed it.
-using idle_links = std::set<std::shared_ptr<caller_link>>;
+using idle_links = std::set<std::shared_ptr<caller_connection>>;
 
 /// Limits on headers, body and times come from the rules in force when a request begins.
 /// A request that violates HTTP or these limits is refused, and its connection is closed.
@@ -30,25 +30,25 @@
     caller_session(entry_state& state, idle_links& idle,
                    boost::asio::ip::tcp::socket socket)
         : state_(state), idle_(idle),
-          link_(std::make_shared<caller_link>(std::move(socket)))
+          connection_(std::make_shared<caller_connection>(std::move(socket)))
     {
     }
 
     /// Serves requests until the connection closes.
     boost::asio::awaitable<void> run()
     {
-        auto after = link_after::keep;
-        while (after == link_after::keep)
+        auto after = connection_disposition::keep;
+        while (after == connection_disposition::keep)
         {
             after = co_await serve_next();
         }
-        if (after == link_after::close)
+        if (after == connection_disposition::close)
         {
-            co_await link_->finish();
+            co_await connection_->close_gracefully();
         }
         else
         {
-            link_->stream().close();
+            connection_->stream().close();
         }
     }
 
@@ -57,15 +57,15 @@
         boost::beast::http::request_parser<boost::beast::http::string_body>;
 
     // 2000  ms; a caller that doesn't take a refusal for this long is disconnected
-    static constexpr millis write_time{2000};
+    static constexpr millis write_timeout{2000};
 
-    boost::asio::awaitable<link_after> serve_next()
+    boost::asio::awaitable<connection_disposition> serve_next()
     {
         auto const limits =
             state_.view.rules ? state_.view.rules->limits() : caller_limits{};
         if (!co_await wait_first_byte(limits))
         {
-            co_return link_after::aborted;
+            co_return connection_disposition::aborted;
         }
         request_parser parser;
         parser.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
@@ -83,17 +83,18 @@
         {
             // The call might not end within the grace period of the shutdown; another VM
             // can serve it immediately.
-            constexpr millis at_once{50};
-            co_return co_await refuse({503, call_fate::not_run, "stopping", at_once});
+            constexpr millis stopping_retry_after{50};
+            co_return co_await refuse(
+                {503, call_fate::not_run, "stopping", stopping_retry_after});
         }
         auto const request = parser.release();
         auto       call = Dialect::read_call(request.base());
         if (auto const* fault = std::get_if<call_fault>(&call))
         {
-            co_return co_await refuse(
-                bad(*fault == call_fault::bad_number ? "bad_number" : "repeated_field"));
+            co_return co_await refuse(bad_request(
+                *fault == call_fault::bad_number ? "bad_number" : "repeated_field"));
         }
-        call_runner<Dialect> runner{state_, *link_, request,
+        call_runner<Dialect> runner{state_, *connection_, request,
                                     std::move(std::get<caller_call>(call))};
         co_return co_await runner.run();
     }
@@ -101,30 +102,30 @@
     /// Returns false if the connection closed or was idle for too long.
     boost::asio::awaitable<bool> wait_first_byte(caller_limits const& limits)
     {
-        auto& buffer = link_->buffer();
+        auto& buffer = connection_->buffer();
         if (buffer.size() > 0)
         {
             co_return true;
         }
         constexpr std::size_t     piece = 4096;
         boost::system::error_code error;
-        idle_.insert(link_);
-        link_->stream().expires_after(limits.idle_time);
-        auto const read = co_await link_->stream().async_read_some(
+        idle_.insert(connection_);
+        connection_->stream().expires_after(limits.idle_time);
+        auto const read = co_await connection_->stream().async_read_some(
             buffer.prepare(piece),
             boost::asio::redirect_error(boost::asio::use_awaitable, error));
         buffer.commit(read);
-        bool const ended = idle_.erase(link_) == 0; // a drain has closed this side
+        bool const ended = idle_.erase(connection_) == 0; // a drain has closed this side
         co_return !error && !ended;
     }
 
-    boost::asio::awaitable<std::optional<own_reply>>
+    boost::asio::awaitable<std::optional<own_response>>
     read_head(request_parser& parser, caller_limits const& limits)
     {
         boost::system::error_code error;
-        link_->stream().expires_after(limits.header_time);
+        connection_->stream().expires_after(limits.header_time);
         co_await boost::beast::http::async_read_header(
-            link_->stream(), link_->buffer(), parser,
+            connection_->stream(), connection_->buffer(), parser,
             boost::asio::redirect_error(boost::asio::use_awaitable, error));
         if (error)
         {
@@ -133,27 +134,27 @@
         auto const fault = check_head(parser.get().base());
         if (fault != head_fault::none)
         {
-            co_return bad(head_fault_name(fault));
+            co_return bad_request(head_fault_name(fault));
         }
         co_return std::nullopt;
     }
 
-    boost::asio::awaitable<std::optional<own_reply>>
+    boost::asio::awaitable<std::optional<own_response>>
     read_body(request_parser& parser, caller_limits const& limits)
     {
         if (parser.get().count(boost::beast::http::field::expect) > 0 &&
             !parser.is_done())
         {
-            auto const until = loop_clock::now() + write_time;
-            if (!co_await link_->write("HTTP/1.1 100 Continue\r\n\r\n", until))
+            auto const until = loop_clock::now() + write_timeout;
+            if (!co_await connection_->write("HTTP/1.1 100 Continue\r\n\r\n", until))
             {
-                co_return bad("closed");
+                co_return bad_request("closed");
             }
         }
         boost::system::error_code error;
-        link_->stream().expires_after(limits.idle_time);
+        connection_->stream().expires_after(limits.idle_time);
         co_await boost::beast::http::async_read(
-            link_->stream(), link_->buffer(), parser,
+            connection_->stream(), connection_->buffer(), parser,
             boost::asio::redirect_error(boost::asio::use_awaitable, error));
         if (error)
         {
@@ -162,12 +163,12 @@
         co_return std::nullopt;
     }
 
-    static own_reply bad(std::string_view cause)
+    static own_response bad_request(std::string_view cause)
     {
         return {400, call_fate::final_refusal, cause, std::nullopt};
     }
 
-    static own_reply refusal_of(boost::system::error_code const& error)
+    static own_response refusal_of(boost::system::error_code const& error)
     {
         namespace http = boost::beast::http;
         if (error == http::error::header_limit)
@@ -186,16 +187,16 @@
             error.category() ==
                 http::make_error_code(http::error::bad_method).category() &&
             error != http::error::end_of_stream && error != http::error::partial_message;
-        return bad(parsing ? "malformed" : "closed");
+        return bad_request(parsing ? "malformed" : "closed");
     }
 
     /// Refuses a request that can't be served as it is, and closes the connection, since
     /// it isn't certain where the next request begins.
-    boost::asio::awaitable<link_after> refuse(own_reply refusal)
+    boost::asio::awaitable<connection_disposition> refuse(own_response refusal)
     {
-        if (refusal.cause == "closed" || !link_->stream().socket().is_open())
+        if (refusal.cause == "closed" || !connection_->stream().socket().is_open())
         {
-            co_return link_after::aborted;
+            co_return connection_disposition::aborted;
         }
         state_.counters.add("refusals_total", "cause=\"" + std::string{refusal.cause} +
                                                   "\",status=\"" +
@@ -204,14 +205,16 @@
                              .add("cause", refusal.cause)
                              .add("status", static_cast<std::int64_t>(refusal.status)),
                          boot_clock::now());
-        auto const bytes = format_reply(refusal, true);
-        bool const written = co_await link_->write(bytes, loop_clock::now() + write_time);
-        co_return written ? link_after::close : link_after::aborted;
+        auto const bytes = format_own_response(refusal, true);
+        bool const written =
+            co_await connection_->write(bytes, loop_clock::now() + write_timeout);
+        co_return written ? connection_disposition::close
+                          : connection_disposition::aborted;
     }
 
-    entry_state&                 state_;
-    idle_links&                  idle_;
-    std::shared_ptr<caller_link> link_;
+    entry_state&                       state_;
+    idle_links&                        idle_;
+    std::shared_ptr<caller_connection> connection_;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/connection_pool.cpp
+++ b/src/serving/connection_pool.cpp
@@ -8,29 +8,29 @@
 
 connection_pool::connection_pool(pool_options options) : options_(options) {}
 
-bool connection_pool::fresh(http_connection const& connection, bool careful,
-                            loop_time now) const
+bool connection_pool::is_usable(http_connection const& connection, bool not_repeatable,
+                                loop_time now) const
 {
-    auto limit = options_.unstated_idle;
+    auto limit = options_.default_idle_timeout;
     if (connection.idle_limit)
     {
         // If the timeout is shorter than twice the margin, half of it is used.
-        limit = std::max(*connection.idle_limit - options_.race_margin,
+        limit = std::max(*connection.idle_limit - options_.close_margin,
                          *connection.idle_limit / 2);
     }
-    limit = careful ? limit / 2 : limit;
+    limit = not_repeatable ? limit / 2 : limit;
     return now - connection.last_used < limit && connection.quiet();
 }
 
 std::shared_ptr<http_connection> connection_pool::take(std::string const& server,
-                                                       bool careful, loop_time now)
+                                                       bool not_repeatable, loop_time now)
 {
     auto const found = idle_.find(server);
     while (found != idle_.end() && !found->second.empty())
     {
         auto connection = std::move(found->second.back());
         found->second.pop_back();
-        if (fresh(*connection, careful, now))
+        if (is_usable(*connection, not_repeatable, now))
         {
             return connection;
         }
@@ -45,7 +45,7 @@
 {
     connection->last_used = now;
     auto& list = idle_[server];
-    if (list.size() >= options_.most_idle)
+    if (list.size() >= options_.max_idle)
     {
         list.front()->close();
         list.erase(list.begin());
@@ -73,7 +73,7 @@
     {
         auto const stale = [&](std::shared_ptr<http_connection> const& connection)
         {
-            bool const keep = fresh(*connection, false, now);
+            bool const keep = is_usable(*connection, false, now);
             if (!keep)
             {
                 connection->close();
--- a/src/serving/connection_pool.hpp
+++ b/src/serving/connection_pool.hpp
@@ -15,10 +15,10 @@
 
 struct pool_options
 {
-    std::size_t most_idle = 16; // 16    idle connections per server; the oldest is closed
-    millis      unstated_idle{3000}; // 3000  ms; idle timeout if the server states none
-    millis      race_margin{1000};   // 1000  ms before the stated timeout: a request that
-                              //       crosses the server's close may or may not run
+    std::size_t max_idle = 16; // 16    idle connections per server; the oldest is closed
+    millis default_idle_timeout{3000}; // 3000  ms; idle timeout if the server states none
+    millis close_margin{1000}; // 1000  ms before the stated timeout: a request that
+                               //       crosses the server's close may or may not run
 
     bool operator==(pool_options const&) const = default;
 };
@@ -32,7 +32,7 @@
     /// Takes the most recently used connection to `server`, or null if none can be reused
     /// safely. With `careful`, for calls that can't be sent again, it must have been idle
     /// for less than half of the allowed time.
-    std::shared_ptr<http_connection> take(std::string const& server, bool careful,
+    std::shared_ptr<http_connection> take(std::string const& server, bool not_repeatable,
                                           loop_time now);
 
     /// Keeps a connection for reuse.
@@ -47,7 +47,8 @@
 
 private:
     /// Whether the connection can be reused.
-    bool fresh(http_connection const& connection, bool careful, loop_time now) const;
+    bool is_usable(http_connection const& connection, bool not_repeatable,
+                   loop_time now) const;
 
     pool_options                                                         options_;
     std::map<std::string, std::vector<std::shared_ptr<http_connection>>> idle_;
--- a/src/serving/event_splitter.cpp
+++ b/src/serving/event_splitter.cpp
@@ -10,7 +10,7 @@
 constexpr std::string_view id_field = "id:";
 
 /// Offset of the end of the last complete event; 0 if there is none.
-std::size_t whole_length(std::string_view text)
+std::size_t complete_length(std::string_view text)
 {
     std::size_t end = 0;
     auto const  feeds = text.rfind("\n\n");
@@ -48,11 +48,11 @@
 
 } // namespace
 
-whole_events event_splitter::feed(std::string_view bytes)
+complete_events event_splitter::feed(std::string_view bytes)
 {
     rest_ += bytes;
-    auto const   length = whole_length(rest_);
-    whole_events result{rest_.substr(0, length), {}};
+    auto const      length = complete_length(rest_);
+    complete_events result{rest_.substr(0, length), {}};
     result.last_id = last_id_of(result.bytes);
     rest_.erase(0, length);
     return result;
--- a/src/serving/event_splitter.hpp
+++ b/src/serving/event_splitter.hpp
@@ -1,6 +1,6 @@
 // Splits a server-sent event stream at event boundaries, with its bytes unchanged.
 //
-// Index: whole_events, event_splitter
+// Index: complete_events, event_splitter
 #ifndef MARIGOLDCRANK_SERVING_EVENT_SPLITTER_HPP
 #define MARIGOLDCRANK_SERVING_EVENT_SPLITTER_HPP
 
@@ -11,12 +11,12 @@
 {
 
 /// Consecutive complete events of a stream.
-struct whole_events
+struct complete_events
 {
     std::string bytes;   // unchanged, with blank lines; empty: no event is complete yet
     std::string last_id; // of the last event that has an id; empty: none has one
 
-    bool operator==(whole_events const&) const = default;
+    bool operator==(complete_events const&) const = default;
 };
 
 /// A server may fail in the middle of an event. Only complete events are relayed, so that
@@ -25,7 +25,7 @@
 {
 public:
     /// Appends bytes, and returns the events that they complete.
-    whole_events feed(std::string_view bytes);
+    complete_events feed(std::string_view bytes);
 
     /// The bytes after the last complete event.
     std::string const& rest() const noexcept;
--- a/src/serving/handle_release.cpp
+++ b/src/serving/handle_release.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-constexpr millis patience{
+constexpr millis release_timeout{
     1000}; // 1000  ms; for the whole request; then the handle expires by itself
 
 asio::awaitable<void> send_release(std::shared_ptr<http_connection> link,
                                    socket_address engine, http_request request)
 {
-    auto const until = loop_clock::now() + patience;
+    auto const until = loop_clock::now() + release_timeout;
     auto const opened = co_await link->connect(engine, until);
     if (opened == link_step::ok)
     {
--- a/src/serving/http_connection.cpp
+++ b/src/serving/http_connection.cpp
@@ -30,7 +30,7 @@
 constexpr std::size_t background_bytes =
     4096; // longer bodies are written in the background
 
-link_step step_of(error_code const& error)
+link_step io_result_of(error_code const& error)
 {
     if (!error)
     {
@@ -50,15 +50,15 @@
 
 // 1. Options
 
-void set_link_options(tcp::socket& socket, connection_options const& options)
+void set_tcp_options(tcp::socket& socket, tcp_options const& options)
 {
     auto const handle = socket.native_handle();
     set_option(handle, IPPROTO_TCP, TCP_NODELAY, 1);
     set_option(handle, SOL_SOCKET, SO_KEEPALIVE, 1);
-    set_option(handle, IPPROTO_TCP, TCP_KEEPIDLE, options.probe_idle_s);
-    set_option(handle, IPPROTO_TCP, TCP_KEEPINTVL, options.probe_every_s);
-    set_option(handle, IPPROTO_TCP, TCP_KEEPCNT, options.probe_count);
-    set_option(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, options.unacknowledged_ms);
+    set_option(handle, IPPROTO_TCP, TCP_KEEPIDLE, options.keepalive_idle_s);
+    set_option(handle, IPPROTO_TCP, TCP_KEEPINTVL, options.keepalive_interval_s);
+    set_option(handle, IPPROTO_TCP, TCP_KEEPCNT, options.keepalive_probes);
+    set_option(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, options.user_timeout_ms);
 }
 
 http_connection::http_connection(asio::any_io_executor executor) : stream_(executor) {}
@@ -80,9 +80,9 @@
                                    asio::redirect_error(asio::use_awaitable, error));
     if (!error)
     {
-        set_link_options(stream_.socket(), connection_options{});
+        set_tcp_options(stream_.socket(), tcp_options{});
     }
-    co_return step_of(error);
+    co_return io_result_of(error);
 }
 
 asio::awaitable<link_step> http_connection::send(http_request request, loop_time until)
@@ -94,7 +94,7 @@
         error_code error;
         co_await http::async_write(stream_, request,
                                    asio::redirect_error(asio::use_awaitable, error));
-        co_return step_of(error);
+        co_return io_result_of(error);
     }
     writing_ = true;
     auto write = [](std::shared_ptr<http_connection> self,
@@ -133,7 +133,7 @@
                 http::make_error_code(http::error::end_of_stream).category();
             bool const ended = error == http::error::end_of_stream ||
                                error == http::error::partial_message;
-            co_return ours && !ended ? link_step::malformed : step_of(error);
+            co_return ours && !ended ? link_step::malformed : io_result_of(error);
         }
     } while (parser_->get().result_int() < informational);
     complete_ = parser_->is_done();
@@ -152,8 +152,8 @@
         complete_ = true;
         co_return body_step::whole;
     }
-    std::array<char, body_piece> piece;
-    auto&                        body = parser_->get().body();
+    std::array<char, body_chunk_size> piece;
+    auto&                             body = parser_->get().body();
     body.data = piece.data();
     body.size = piece.size();
     body.more = true;
--- a/src/serving/http_connection.hpp
+++ b/src/serving/http_connection.hpp
@@ -1,6 +1,6 @@
 // An HTTP/1.1 client connection to a backend server or to the platform, for coroutines.
 //
-// Index: 1 link_step, 2 body_step, 3 connection_options, 4 http_connection
+// Index: 1 link_step, 2 body_step, 3 tcp_options, 4 http_connection
 #ifndef MARIGOLDCRANK_SERVING_HTTP_CONNECTION_HPP
 #define MARIGOLDCRANK_SERVING_HTTP_CONNECTION_HPP
 
@@ -44,24 +44,23 @@
 };
 
 /// TCP options of connections to callers and servers.
-struct connection_options
+struct tcp_options
 {
     // 1  s of idleness before the first keepalive probe, 1 s between probes; 2 unanswered
     //    probes close the connection
-    int probe_idle_s = 1;
-    int probe_every_s = 1;
-    int probe_count = 2;
+    int keepalive_idle_s = 1;
+    int keepalive_interval_s = 1;
+    int keepalive_probes = 2;
     // 2500  ms; TCP_USER_TIMEOUT: sent bytes unacknowledged for longer close the
     //       connection
-    unsigned unacknowledged_ms = 2500;
+    unsigned user_timeout_ms = 2500;
 
-    bool operator==(connection_options const&) const = default;
+    bool operator==(tcp_options const&) const = default;
 };
 
 /// Sets TCP_NODELAY, the keepalive probes and TCP_USER_TIMEOUT. Without the latter two, a
 /// connection whose peer vanishes without a reset hangs for minutes.
-void set_link_options(boost::asio::ip::tcp::socket& socket,
-                      connection_options const&     options);
+void set_tcp_options(boost::asio::ip::tcp::socket& socket, tcp_options const& options);
 
 /// Carries one request at a time. Closing it ends the operation in progress as `broken`.
 class http_connection : public std::enable_shared_from_this<http_connection>
@@ -97,16 +96,16 @@
     std::optional<millis> idle_limit;
 
 private:
-    using answer_parser =
+    using message_parser =
         boost::beast::http::response_parser<boost::beast::http::buffer_body>;
-    static constexpr std::size_t body_piece = 16384;
-
-    boost::beast::tcp_stream     stream_;
-    boost::beast::flat_buffer    buffer_;
-    std::optional<answer_parser> parser_;
-    bool                         writing_ = false;
-    bool                         write_failed_ = false;
-    bool                         complete_ = false;
+    static constexpr std::size_t body_chunk_size = 16384;
+
+    boost::beast::tcp_stream      stream_;
+    boost::beast::flat_buffer     buffer_;
+    std::optional<message_parser> parser_;
+    bool                          writing_ = false;
+    bool                          write_failed_ = false;
+    bool                          complete_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/http_rules.cpp
+++ b/src/serving/http_rules.cpp
@@ -73,7 +73,7 @@
     return "none";
 }
 
-bool hop_field(std::string_view name)
+bool is_hop_by_hop(std::string_view name)
 {
     static constexpr std::array<std::string_view, 10> names{
         "Connection", "Keep-Alive", "Proxy-Connection",  "Proxy-Authenticate", "TE",
--- a/src/serving/http_rules.hpp
+++ b/src/serving/http_rules.hpp
@@ -38,7 +38,7 @@
                      boost::beast::http::fields& to, Kept&& kept);
 
 /// True for hop-by-hop fields and for those that frame one message.
-bool hop_field(std::string_view name);
+bool is_hop_by_hop(std::string_view name);
 
 /// True if a Connection field lists `name`.
 bool named_by_connection(boost::beast::http::fields const& fields, std::string_view name);
@@ -58,7 +58,7 @@
         auto const             text = field.name_string();
         std::string_view const name{text.data(), text.size()};
         bool const             stays =
-            hop_field(name) || (!kept(name) && named_by_connection(from, name));
+            is_hop_by_hop(name) || (!kept(name) && named_by_connection(from, name));
         if (!stays)
         {
             to.insert(field.name(), text, field.value());
--- a/src/serving/listener.cpp
+++ b/src/serving/listener.cpp
@@ -18,7 +18,7 @@
 // 1024  connections; a full queue drops SYN packets, which are sent again after 1 s
 constexpr int backlog = 1024;
 // 100   ms; pause after a failed accept, as when no file descriptors are free
-constexpr millis no_descriptor_pause{100};
+constexpr millis accept_retry_pause{100};
 
 asio::awaitable<void> accept_all(tcp::acceptor                    acceptor,
                                  std::function<void(tcp::socket)> handler)
@@ -30,7 +30,7 @@
                                  asio::redirect_error(asio::use_awaitable, error));
         if (error)
         {
-            co_await loop_sleep(no_descriptor_pause);
+            co_await loop_sleep(accept_retry_pause);
             continue;
         }
         handler(std::move(socket));
--- a/src/serving/model_placing.cpp
+++ b/src/serving/model_placing.cpp
@@ -14,33 +14,33 @@
 
 // 3     times the expected time of a prefill, and 600 ms more, are allowed for it. Later
 //       its response is lost, or the engine so slow that a prefill elsewhere ends sooner
-constexpr int reading_factor = 3;
+constexpr int prefill_time_factor = 3;
 // 4     engines of a role that a call chooses from when load digests come through relays
 constexpr std::int64_t choices = 4;
-constexpr millis       least_reading{600};
+constexpr millis       min_prefill_time{600};
 // 4     times the route's objective is the least deadline of the first event
-constexpr int patient_objectives = 4;
+constexpr int first_event_objectives = 4;
 
 } // namespace
 
-model_placing::model_placing(entry_state& state, caller_call const& call,
-                             admitted_call const& admitted)
+model_placement::model_placement(entry_state& state, caller_call const& call,
+                                 admitted_call const& admitted)
     : state_(state), call_(call), admitted_(admitted)
 {
 }
 
-work_meter& model_placing::meter() const
+work_meter& model_placement::meter() const
 {
     return state_.meters[admitted_.service_name];
 }
 
-bool model_placing::reads_prompt() const
+bool model_placement::reads_prompt() const
 {
     return admitted_.target != nullptr && admitted_.target->has_engines &&
            !call_.prompt.empty();
 }
 
-void model_placing::count_demand(boot_clock::time_point arrived)
+void model_placement::count_demand(boot_clock::time_point arrived)
 {
     // Short prompts are always prefilled colocated.
     if (reads_prompt() && call_.own_tokens() >= placement_options{}.handover_least)
@@ -50,16 +50,16 @@
 }
 
 std::optional<placement>
-model_placing::choose_first(std::vector<candidate> const& candidates, bool apart)
+model_placement::choose_first(std::vector<candidate> const& candidates, bool apart)
 {
     auto const& centre = state_.settings.data_centre;
     if (reads_prompt() && apart)
     {
-        return place_model(with_kept(candidates), call_, costs(), centre, state_.ticket(),
-                           state_.placing());
+        return place_model(with_cached_tokens(candidates), call_, costs(), centre,
+                           state_.ticket(), state_.placing());
     }
     auto const* server = reads_prompt()
-                             ? takeover(candidates)
+                             ? choose_decode_engine(candidates)
                              : place_plain(candidates, centre, state_.ticket());
     if (server == nullptr)
     {
@@ -68,13 +68,14 @@
     return placement{.server = server, .unread = call_.prompt_tokens()};
 }
 
-backend_server const* model_placing::takeover(std::vector<candidate> const& candidates)
+backend_server const*
+model_placement::choose_decode_engine(std::vector<candidate> const& candidates)
 {
     return place_decode(candidates, costs(), state_.settings.data_centre, state_.ticket(),
                         state_.placing());
 }
 
-std::optional<millis> model_placing::too_late(placement const& placed) const
+std::optional<millis> model_placement::queue_retry_after(placement const& placed) const
 {
     if (!reads_prompt() || !state_.settings.refuse)
     {
@@ -88,7 +89,7 @@
                                wait_options{});
 }
 
-loop_time model_placing::reading_end(placement const& placed) const
+loop_time model_placement::prefill_deadline(placement const& placed) const
 {
     auto const now = loop_clock::now();
     if (meter().prefill_speed() <= 0)
@@ -97,17 +98,18 @@
     }
     auto const expected =
         millis{std::llround(std::ceil(placed.wait_ms + placed.read_ms))};
-    return std::min(admitted_.deadline, now + expected * reading_factor + least_reading);
+    return std::min(admitted_.deadline,
+                    now + expected * prefill_time_factor + min_prefill_time);
 }
 
-loop_time model_placing::first_event_end(placement const& placed) const
+loop_time model_placement::first_event_deadline(placement const& placed) const
 {
-    auto const patience = admitted_.matched->objective * patient_objectives;
-    auto const end = std::max(reading_end(placed), loop_clock::now() + patience);
+    auto const patience = admitted_.matched->objective * first_event_objectives;
+    auto const end = std::max(prefill_deadline(placed), loop_clock::now() + patience);
     return std::min(admitted_.deadline, end);
 }
 
-engine_costs model_placing::costs() const
+engine_costs model_placement::costs() const
 {
     auto const& reads = meter().reads();
     auto const& beside = meter().beside();
@@ -123,7 +125,7 @@
             .choices = state_.settings.spread && state_.relays_used() ? choices : 0};
 }
 
-double model_placing::unheard_ms() const
+double model_placement::unheard_ms() const
 {
     auto const now = boot_clock::now();
     auto const engines = static_cast<double>(state_.servers_of(admitted_.service_name));
@@ -132,7 +134,8 @@
     return engines > 0 ? busy / engines * static_cast<double>(age) : 0;
 }
 
-std::vector<candidate> model_placing::with_kept(std::vector<candidate> candidates) const
+std::vector<candidate>
+model_placement::with_cached_tokens(std::vector<candidate> candidates) const
 {
     if (!state_.settings.directory)
     {
@@ -151,7 +154,7 @@
     return candidates;
 }
 
-void model_placing::record_attempt(std::string const& server, placement const& planned)
+void model_placement::record_attempt(std::string const& server, placement const& planned)
 {
     if (reads_prompt())
     {
@@ -160,7 +163,7 @@
     }
 }
 
-void model_placing::record_prefill(placement const& planned, boot_clock::duration took)
+void model_placement::record_prefill(placement const& planned, boot_clock::duration took)
 {
     if (state_.settings.learn)
     {
@@ -169,8 +172,8 @@
     }
 }
 
-void model_placing::record_colocated_prefill(placement const&     planned,
-                                             boot_clock::duration took)
+void model_placement::record_colocated_prefill(placement const&     planned,
+                                               boot_clock::duration took)
 {
     if (state_.settings.learn)
     {
@@ -179,13 +182,13 @@
     }
 }
 
-void model_placing::record_handoff(boot_clock::duration took)
+void model_placement::record_handoff(boot_clock::duration took)
 {
     meter().handed_over(took);
 }
 
-void model_placing::record_stream(std::int64_t pieces, boot_clock::duration took,
-                                  boot_clock::duration longest_pause)
+void model_placement::record_stream(std::int64_t pieces, boot_clock::duration took,
+                                    boot_clock::duration longest_pause)
 {
     state_.pauses[admitted_.service_name].ended(pieces, longest_pause,
                                                 admitted_.matched->event_gap);
--- a/src/serving/model_placing.hpp
+++ b/src/serving/model_placing.hpp
@@ -1,6 +1,6 @@
 // Chooses engines for one model call: applies src/policy to the current state of this VM.
 //
-// Index: model_placing
+// Index: model_placement
 #ifndef MARIGOLDCRANK_SERVING_MODEL_PLACING_HPP
 #define MARIGOLDCRANK_SERVING_MODEL_PLACING_HPP
 
@@ -15,11 +15,11 @@
 /// Chooses the engines for prefill and decode, sets deadlines for them, and records
 /// measured times for later choices. Calls without a prompt, and services without
 /// engines, are placed as plain calls. Lives as long as its call. Does no I/O.
-class model_placing
+class model_placement
 {
 public:
-    model_placing(entry_state& state, caller_call const& call,
-                  admitted_call const& admitted);
+    model_placement(entry_state& state, caller_call const& call,
+                    admitted_call const& admitted);
 
     /// Whether the call is placed by the prefill of its prompt.
     bool reads_prompt() const;
@@ -33,18 +33,18 @@
                                           bool                          apart);
 
     /// Chooses the engine that decodes after a handoff; null if there is none.
-    backend_server const* takeover(std::vector<candidate> const& candidates);
+    backend_server const* choose_decode_engine(std::vector<candidate> const& candidates);
 
     /// The Retry-After if the call would wait too long at `placed`; else nothing.
-    std::optional<millis> too_late(placement const& placed) const;
+    std::optional<millis> queue_retry_after(placement const& placed) const;
 
     /// Deadline of the prefill. Without it, a call whose prefill response is lost without
     /// a reset would wait until its caller gives up, though a prefill may be repeated.
-    loop_time reading_end(placement const& placed) const;
+    loop_time prefill_deadline(placement const& placed) const;
 
     /// Deadline of the first event. Without it, a call at an engine that stopped
     /// responding without closing the connection would wait until its own deadline.
-    loop_time first_event_end(placement const& placed) const;
+    loop_time first_event_deadline(placement const& placed) const;
 
     /// Records that the call is sent to `server`, which will have its prompt cached.
     void record_attempt(std::string const& server, placement const& planned);
@@ -69,7 +69,7 @@
     double unheard_ms() const;
 
     /// The candidates with the tokens of this prompt that they have cached.
-    std::vector<candidate> with_kept(std::vector<candidate> candidates) const;
+    std::vector<candidate> with_cached_tokens(std::vector<candidate> candidates) const;
 
     entry_state&         state_;
     caller_call const&   call_;
--- a/src/serving/own_reply.cpp
+++ b/src/serving/own_reply.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-std::string format_reply(own_reply const& reply, bool close)
+std::string format_own_response(own_response const& reply, bool close)
 {
     auto const body = nlohmann::json{{"error",
                                       {{"cause", std::string{reply.cause}},
@@ -75,8 +75,8 @@
     return out + body;
 }
 
-std::string format_answer(answer_head const& head, std::string const& body, bool close,
-                          bool head_only)
+std::string format_response(answer_head const& head, std::string const& body, bool close,
+                            bool head_only)
 {
     auto result = relayed_head(head, close);
     if (head_only)
--- a/src/serving/own_reply.hpp
+++ b/src/serving/own_reply.hpp
@@ -1,6 +1,6 @@
 // Formats responses to callers: refusals and failures of this VM, and relayed ones.
 //
-// Index: 1 own_reply, 2 format functions
+// Index: 1 own_response, 2 format functions
 #ifndef MARIGOLDCRANK_SERVING_OWN_REPLY_HPP
 #define MARIGOLDCRANK_SERVING_OWN_REPLY_HPP
 
@@ -16,22 +16,22 @@
 {
 
 /// A response that this VM generates itself.
-struct own_reply
+struct own_response
 {
     unsigned              status = 503;
     call_fate             fate = call_fate::not_run;
     std::string_view      cause;       // one word for logs, metrics and the body
     std::optional<millis> retry_after; // for not_run only
 
-    bool operator==(own_reply const&) const = default;
+    bool operator==(own_response const&) const = default;
 };
 
 /// The complete response as bytes.
-std::string format_reply(own_reply const& reply, bool close);
+std::string format_own_response(own_response const& reply, bool close);
 
 /// A server's response as bytes, with end-to-end fields only and a new Content-Length.
-std::string format_answer(answer_head const& head, std::string const& body, bool close,
-                          bool head_only);
+std::string format_response(answer_head const& head, std::string const& body, bool close,
+                            bool head_only);
 
 /// The head of a stream. Its events follow in chunks, or until the connection closes for
 /// a caller without support for chunked coding.
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -37,26 +37,26 @@
 {
 
 // 256   queries queued for one VM
-constexpr int queue_limit = 256;
+constexpr int max_queued_queries = 256;
 // 150   ms; half of the time in which the fastest calls must be served
-constexpr millis patience{150};
+constexpr millis reply_timeout{150};
 // 1000  ms; a VM that has not replied is asked last for this time
-constexpr millis silent_pause{1000};
+constexpr millis silence_backoff{1000};
 // 300   ms; Retry-After while no owner replies; another VM may have taken over by then
-constexpr millis back_later{300};
+constexpr millis isolated_retry_after{300};
 // 50    ms; interval of checks whether the other VMs are known
-constexpr millis           settle_look{50};
-constexpr std::string_view question_kind = "quota";
+constexpr millis           fleet_check_interval{50};
+constexpr std::string_view query_kind = "quota";
 
-struct open_question
+struct open_query
 {
-    explicit open_question(asio::io_context& loop) : timer(loop) {}
+    explicit open_query(asio::io_context& loop) : timer(loop) {}
 
     asio::steady_timer               timer;
     std::optional<wire::quota_reply> reply;
 };
 
-quota_answer answer_of(wire::quota_reply const& reply)
+quota_answer answer_from(wire::quota_reply const& reply)
 {
     auto const last = static_cast<std::uint32_t>(quota_outcome::declined);
     return {.outcome = static_cast<quota_outcome>(std::min(reply.outcome(), last)),
@@ -78,7 +78,7 @@
         if (!socket)
         {
             socket = std::make_unique<watched_socket>(
-                loop, context, zmq::socket_type::dealer, queue_limit,
+                loop, context, zmq::socket_type::dealer, max_queued_queries,
                 [this](std::vector<zmq::message_t>& parts) { take(parts); });
             socket->socket().connect(zmq_endpoint(address));
         }
@@ -90,7 +90,7 @@
         auto const bytes = question.SerializeAsString();
         auto&      socket = socket_to(address);
         static_cast<void>(
-            socket.socket().send(zmq::buffer(question_kind),
+            socket.socket().send(zmq::buffer(query_kind),
                                  zmq::send_flags::dontwait | zmq::send_flags::sndmore));
         static_cast<void>(
             socket.socket().send(zmq::buffer(bytes), zmq::send_flags::dontwait));
@@ -113,11 +113,11 @@
         }
     }
 
-    asio::io_context&                                       loop;
-    zmq::context_t&                                         context;
-    std::map<std::string, std::unique_ptr<watched_socket>>  sockets; // by address
-    std::map<std::uint64_t, std::shared_ptr<open_question>> open_queries;
-    std::uint64_t                                           number = 0;
+    asio::io_context&                                      loop;
+    zmq::context_t&                                        context;
+    std::map<std::string, std::unique_ptr<watched_socket>> sockets; // by address
+    std::map<std::uint64_t, std::shared_ptr<open_query>>   open_queries;
+    std::uint64_t                                          number = 0;
 };
 
 // 3. Queries
@@ -127,7 +127,7 @@
     : state_(state), links_(std::make_unique<links>(loop, context))
 {
     records.answer_others([this](std::string const& question)
-                          { return answer_other(question); });
+                          { return reply_to_vm(question); });
 }
 
 quota_gate::~quota_gate() = default;
@@ -135,13 +135,13 @@
 void quota_gate::follow(std::vector<std::string> const& homes)
 {
     home_.terms(terms());
-    homes_ = homes;
+    owners_ = homes;
     auto const gone = [&](auto const& each)
     {
         return std::find(homes.begin(), homes.end(), each.first) == homes.end();
     };
     std::erase_if(links_->sockets, gone);
-    std::erase_if(silent_, gone);
+    std::erase_if(backoff_until_, gone);
     forget_workspaces();
 }
 
@@ -163,13 +163,14 @@
         return rules->find_workspace_named(workspace) != nullptr;
     };
     home_.forget_unless(known);
-    std::erase_if(alone_, [&](auto const& each) { return !known(each.first); });
+    std::erase_if(isolated_buckets_,
+                  [&](auto const& each) { return !known(each.first); });
 }
 
 std::vector<std::string> quota_gate::homes_heard(boot_clock::time_point now) const
 {
     std::vector<std::string> result;
-    std::copy_if(homes_.begin(), homes_.end(), std::back_inserter(result),
+    std::copy_if(owners_.begin(), owners_.end(), std::back_inserter(result),
                  [&](std::string const& each) { return state_.heard_lately(each, now); });
     return result;
 }
@@ -179,20 +180,21 @@
     auto const now = boot_clock::now();
     auto const silent = [&](std::string const& home)
     {
-        auto const found = silent_.find(home);
-        return found != silent_.end() && now < found->second;
+        auto const found = backoff_until_.find(home);
+        return found != backoff_until_.end() && now < found->second;
     };
     // A VM whose digests are missing may still reply, since digests come through relays.
-    auto const doubt = [&](std::string const& home)
+    auto const unreachability = [&](std::string const& home)
     {
         return (silent(home) ? 2 : 0) + (state_.heard_lately(home, now) ? 0 : 1);
     };
-    constexpr int lost = 3; // no digests and no replies
-    auto          homes = order_homes(workspace, homes_);
-    std::erase_if(homes, [&](std::string const& each) { return doubt(each) == lost; });
+    constexpr int unreachable = 3; // no digests and no replies
+    auto          homes = order_homes(workspace, owners_);
+    std::erase_if(homes, [&](std::string const& each)
+                  { return unreachability(each) == unreachable; });
     std::stable_sort(homes.begin(), homes.end(),
                      [&](std::string const& left, std::string const& right)
-                     { return doubt(left) < doubt(right); });
+                     { return unreachability(left) < unreachability(right); });
     return homes;
 }
 
@@ -201,17 +203,17 @@
 {
     if (address == state_.contact.records)
     {
-        co_return answer_own(question);
+        co_return reply_as_owner(question);
     }
     auto const           number = ++links_->number;
-    auto const           pending = std::make_shared<open_question>(links_->loop);
+    auto const           pending = std::make_shared<open_query>(links_->loop);
     wire::quota_question message;
     message.set_number(number);
     message.set_workspace(question.workspace);
     message.set_units(question.units);
     message.set_left(question.left);
     links_->open_queries[number] = pending;
-    pending->timer.expires_after(patience);
+    pending->timer.expires_after(reply_timeout);
     links_->send(address, message);
     boost::system::error_code error; // cancelled by the reply, or expired
     co_await pending->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
@@ -219,11 +221,11 @@
     state_.counters.add(pending->reply ? "quota_answers_total" : "quota_silences_total");
     if (!pending->reply)
     {
-        silent_[address] = boot_clock::now() + silent_pause;
+        backoff_until_[address] = boot_clock::now() + silence_backoff;
         co_return std::nullopt;
     }
-    silent_.erase(address);
-    co_return answer_of(*pending->reply);
+    backoff_until_.erase(address);
+    co_return answer_from(*pending->reply);
 }
 
 /// If all VMs restart at once, calls arrive before the VMs have discovered each other.
@@ -233,11 +235,11 @@
 {
     while (!state_.fleet.settled(boot_clock::now()))
     {
-        co_await loop_sleep(settle_look);
+        co_await loop_sleep(fleet_check_interval);
     }
 }
 
-asio::awaitable<std::optional<own_reply>>
+asio::awaitable<std::optional<own_response>>
 quota_gate::admit(caller_call const& call, workspace const& owner, quota_hold& hold)
 {
     auto const   began = boot_clock::now();
@@ -269,8 +271,8 @@
         hold.units = units;
         co_return std::nullopt;
     }
-    note_refusal(call, owner, hold, answer);
-    co_return own_reply{429, call_fate::not_run, "quota", answer.retry_after};
+    log_refusal(call, owner, hold, answer);
+    co_return own_response{429, call_fate::not_run, "quota", answer.retry_after};
 }
 
 quota_answer quota_gate::decide_isolated(std::string const& workspace, std::int64_t units,
@@ -278,11 +280,11 @@
 {
     auto const now = boot_clock::now();
     auto const bounds = bounds_alone(quota, terms(), state_.fleet.alone());
-    auto const bucket = alone_.try_emplace(workspace, bounds, now).first;
+    auto const bucket = isolated_buckets_.try_emplace(workspace, bounds, now).first;
     bucket->second.limit(bounds, now);
     bool const over = bucket->second.take(units, now).has_value();
     return {.outcome = over ? quota_outcome::over_quota : quota_outcome::granted,
-            .retry_after = back_later,
+            .retry_after = isolated_retry_after,
             .left = static_cast<std::int64_t>(bucket->second.level())};
 }
 
@@ -296,8 +298,8 @@
     }
     if (hold.granted_by.empty())
     {
-        auto const bucket = alone_.find(hold.workspace);
-        if (bucket != alone_.end())
+        auto const bucket = isolated_buckets_.find(hold.workspace);
+        if (bucket != isolated_buckets_.end())
         {
             bucket->second.give_back(hold.units, now);
         }
@@ -311,7 +313,7 @@
 
 // 4. Replies
 
-quota_answer quota_gate::answer_own(quota_ask const& ask)
+quota_answer quota_gate::reply_as_owner(quota_ask const& ask)
 {
     auto const  now = boot_clock::now();
     auto const& rules = state_.view.rules;
@@ -326,7 +328,7 @@
     }
     auto const& own = state_.contact.records;
     home_view   view{.stops = state_.draining, .share = state_.fleet.value()};
-    for (auto const& each : order_homes(ask.workspace, homes_))
+    for (auto const& each : order_homes(ask.workspace, owners_))
     {
         view.listed = view.listed || each == own;
         bool const before = !view.listed && view.ahead.empty() && each != ask.left;
@@ -335,7 +337,7 @@
     return home_.answer(ask, *owner->quota, view, now);
 }
 
-std::string quota_gate::answer_other(std::string const& question)
+std::string quota_gate::reply_to_vm(std::string const& question)
 {
     wire::quota_question message;
     if (!message.ParseFromString(question))
@@ -349,7 +351,7 @@
         return "";
     }
     auto const answer =
-        answer_own({message.workspace(), message.units(), message.left()});
+        reply_as_owner({message.workspace(), message.units(), message.left()});
     wire::quota_reply reply;
     reply.set_number(message.number());
     reply.set_outcome(static_cast<std::uint32_t>(answer.outcome));
@@ -361,8 +363,8 @@
 
 // 5. Refusals
 
-void quota_gate::note_refusal(caller_call const& call, workspace const& owner,
-                              quota_hold const& hold, quota_answer const& answer)
+void quota_gate::log_refusal(caller_call const& call, workspace const& owner,
+                             quota_hold const& hold, quota_answer const& answer)
 {
     state_.log.write(
         event_line{"over_quota"}
--- a/src/serving/quota_gate.hpp
+++ b/src/serving/quota_gate.hpp
@@ -67,7 +67,7 @@
     /// Fills `hold`, or returns a refusal as not run, with the time after which units
     /// will be available. Takes up to three reply timeouts if VMs don't reply, and after
     /// a start the time in which VMs discover each other.
-    boost::asio::awaitable<std::optional<own_reply>>
+    boost::asio::awaitable<std::optional<own_response>>
     admit(caller_call const& call, workspace const& owner, quota_hold& hold);
 
     /// Returns the units of a call that has not run.
@@ -90,9 +90,9 @@
     boost::asio::awaitable<void> wait_for_fleet() const;
 
     /// Decides on a query as the owner.
-    quota_answer answer_own(quota_ask const& ask);
+    quota_answer reply_as_owner(quota_ask const& ask);
     /// Replies to the serialised query of another VM; empty if it needs no reply.
-    std::string answer_other(std::string const& question);
+    std::string reply_to_vm(std::string const& question);
 
     /// Queries a VM, or decides here if it is this one; nothing if it doesn't reply in
     /// time.
@@ -103,16 +103,17 @@
     quota_answer decide_isolated(std::string const& workspace, std::int64_t units,
                                  workspace_quota const& quota);
 
-    void note_refusal(caller_call const& call, workspace const& owner,
-                      quota_hold const& hold, quota_answer const& answer);
+    void log_refusal(caller_call const& call, workspace const& owner,
+                     quota_hold const& hold, quota_answer const& answer);
 
     entry_state&             state_;
     quota_home               home_;
-    std::vector<std::string> homes_;
+    std::vector<std::string> owners_;
     std::map<std::string, boot_clock::time_point>
-                                        silent_; // by address: asked last until then
-    std::map<std::string, quota_bucket> alone_;  // by workspace; used while no VM replies
-    std::unique_ptr<links>              links_;
+        backoff_until_; // by address: asked last until then
+    std::map<std::string, quota_bucket>
+                           isolated_buckets_; // by workspace; used while no VM replies
+    std::unique_ptr<links> links_;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/server_exchange.hpp
+++ b/src/serving/server_exchange.hpp
@@ -21,8 +21,9 @@
 {
     http_request message;
     std::string  call_id;
-    bool careful = false; // can't be sent again: reuse only recently used connections
-    bool for_us = false;  // the response isn't relayed and needs no signature
+    bool         not_repeatable =
+        false; // can't be sent again: reuse only recently used connections
+    bool      internal = false; // the response isn't relayed and needs no signature
     loop_time until{};
 };
 
@@ -54,7 +55,7 @@
     boost::asio::awaitable<exchange_fate> start(exchange_request request)
     {
         bool const head_only = request.message.method_string() == "HEAD";
-        for_us_ = request.for_us;
+        internal_ = request.internal;
         if (!co_await open(request))
         {
             co_return exchange_fate::not_sent;
@@ -66,7 +67,7 @@
             fault_ = "send";
             co_return exchange_fate::unknown;
         }
-        for (int responses = 0; responses < most_stray_answers; ++responses)
+        for (int responses = 0; responses < max_stray_responses; ++responses)
         {
             auto const read = co_await connection_->read_head(head_only, request.until);
             if (read != link_step::ok)
@@ -117,10 +118,10 @@
     }
 
     /// Reads the rest of the body. Returns false if it is incomplete or too long.
-    boost::asio::awaitable<bool> read_whole(std::string& out, loop_time until)
+    boost::asio::awaitable<bool> read_complete_body(std::string& out, loop_time until)
     {
         auto step = body_step::more;
-        while (step == body_step::more && out.size() <= most_body)
+        while (step == body_step::more && out.size() <= max_body_size)
         {
             step = co_await connection_->read_body(out, until);
         }
@@ -138,16 +139,17 @@
     }
 
 private:
-    static constexpr int         most_stray_answers = 4;
-    static constexpr std::size_t most_body = 16U
-                                             << 20U; // 16 MiB; body of a plain response
+    static constexpr int         max_stray_responses = 4;
+    static constexpr std::size_t max_body_size =
+        16U << 20U; // 16 MiB; body of a plain response
     // 400  ms; far above any round trip within a region: the server is unreachable or its
     //      accept queue is full, and another one is tried
-    static constexpr millis connect_time{400};
+    static constexpr millis connect_timeout{400};
 
     boost::asio::awaitable<bool> open(exchange_request const& request)
     {
-        connection_ = state_.pool.take(server_.id, request.careful, loop_clock::now());
+        connection_ =
+            state_.pool.take(server_.id, request.not_repeatable, loop_clock::now());
         if (connection_)
         {
             co_return true;
@@ -155,7 +157,7 @@
         auto const executor = co_await boost::asio::this_coro::executor;
         connection_ = std::make_shared<http_connection>(executor);
         state_.counters.add("server_connections_total");
-        auto const until = std::min(request.until, loop_clock::now() + connect_time);
+        auto const until = std::min(request.until, loop_clock::now() + connect_timeout);
         socket_address const address{server_.host,
                                      static_cast<std::uint16_t>(server_.port)};
         auto const           step = co_await connection_->connect(address, until);
@@ -183,7 +185,7 @@
             facts_.status >= first_success && facts_.status < first_redirect;
         // A success is valid only if the server signed it and the body is the server's
         // own bytes.
-        if ((success && !facts_.signed_whole && !for_us_) || facts_.encoded)
+        if ((success && !facts_.signed_whole && !internal_) || facts_.encoded)
         {
             fault_ = "unsigned";
             return exchange_fate::unknown;
@@ -194,7 +196,7 @@
     boost::asio::awaitable<bool> skip_body(loop_time until)
     {
         std::string ignored;
-        co_return co_await read_whole(ignored, until);
+        co_return co_await read_complete_body(ignored, until);
     }
 
     /// Returns the connection to the pool unless bytes on it could be taken for the
@@ -222,7 +224,7 @@
     answer_facts                     facts_;
     char const*                      fault_ = "";
     bool                             stray_ = false;
-    bool                             for_us_ = false;
+    bool                             internal_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/stream_pace.hpp
+++ b/src/serving/stream_pace.hpp
@@ -1,6 +1,6 @@
 // Measures the timing of a stream: time to the first event, and longest pause after it.
 //
-// Index: stream_pace
+// Index: stream_timing
 #ifndef MARIGOLDCRANK_SERVING_STREAM_PACE_HPP
 #define MARIGOLDCRANK_SERVING_STREAM_PACE_HPP
 
@@ -15,10 +15,10 @@
 /// Tells which streams were late, and why: the wait for the first event (queueing and
 /// prefill) or a pause between events (a server busy with other work). Pure; the time is
 /// passed in.
-class stream_pace
+class stream_timing
 {
 public:
-    explicit stream_pace(boot_clock::time_point arrived) : arrived_(arrived) {}
+    explicit stream_timing(boot_clock::time_point arrived) : arrived_(arrived) {}
 
     /// Records that events were relayed at `now`.
     void record_events(boot_clock::time_point now)
@@ -29,7 +29,7 @@
         }
         else
         {
-            pause_ = std::max(pause_, now - last_);
+            longest_pause_ = std::max(longest_pause_, now - last_);
         }
         last_ = now;
     }
@@ -53,7 +53,7 @@
 
     boot_clock::duration longest_pause() const noexcept
     {
-        return pause_;
+        return longest_pause_;
     }
 
     /// Whether the route's objective or event gap was exceeded.
@@ -70,7 +70,7 @@
     boot_clock::time_point arrived_;
     boot_clock::time_point first_{};
     boot_clock::time_point last_{};
-    boot_clock::duration   pause_{};
+    boot_clock::duration   longest_pause_{};
 };
 
 } // namespace marigoldcrank
--- a/tests/platform/answers_test.cpp
+++ b/tests/platform/answers_test.cpp
@@ -1,6 +1,6 @@
-// What callers get of a server's answer: whole, its own, or a failure.
+// Responses of servers as callers receive them.
 //
-// Index: answers that are late, torn, unsigned, or failures
+// Index: responses that are late, incomplete, unsigned, or failures
 #include "platform/support/entry_world.hpp"
 #include "platform/support/raw_caller.hpp"
 
@@ -15,9 +15,9 @@
 
 using std::chrono::milliseconds;
 
-// A school asks for an order's status and reads another school's: the server answers an
-// earlier request a second time, late, just where the next answer is expected. The daemon
-// must read past it by its id and still deliver the right one.
+// A server sends a second, late response to an earlier call where the response to the
+// next call is expected, and a caller would read the status of another caller's order.
+// The daemon must skip it by its id and relay the right one.
 TEST(platform_calls, late_answer_to_an_earlier_call_is_not_taken_for_the_next)
 {
     entry_world world(one_server());
@@ -42,8 +42,8 @@
     EXPECT_EQ(answer.body, "second");
 }
 
-// A server adds bytes after a whole answer. They wait on the kept connection, and the
-// next call over it would read them as its answer. The connection must not be used again.
+// A server sends bytes after a complete response. On a reused connection, the next call
+// would read them as its response. The connection must not be reused.
 TEST(platform_calls, bytes_behind_an_answer_belong_to_no_call)
 {
     entry_world world(one_server());
@@ -59,9 +59,8 @@
     EXPECT_EQ(world.server(0).connections(), 2U);
 }
 
-// A server breaks off its answer in the middle. A caller that gets the torn body behind a
-// 200 files half a claim. It must get a failure, and a repeatable call another server's
-// answer.
+// A server closes the connection in the middle of a body. The caller must not get the
+// partial body with status 200, but a failure.
 TEST(platform_calls, torn_answer_is_never_passed_on_as_whole)
 {
     entry_world world(one_server());
@@ -77,8 +76,8 @@
     EXPECT_EQ(answer.fields.count("instance-signature"), 0U);
 }
 
-// The same without a length: the answer's end is the connection's end, and a reset on the
-// way is no end.
+// A response without a length ends when the connection is closed. If the connection is
+// reset instead, the response is incomplete, and the caller must get a failure.
 TEST(platform_calls, answer_without_length_that_is_reset_is_not_whole)
 {
     entry_world world(one_server());
@@ -95,7 +94,8 @@
     EXPECT_EQ(ask(world.callers_port(), {.path = "/once/x"}).status, 502);
 }
 
-// A confused server answers 200 without its signature. Nobody vouches for these bytes.
+// A server responds with 200 but without its signature, so the body can't be trusted. The
+// caller must get a failure.
 TEST(platform_calls, success_without_signature_is_a_failure)
 {
     entry_world world(one_server());
@@ -109,7 +109,7 @@
     EXPECT_EQ(ask(world.callers_port(), {.path = "/once/x"}).status, 502);
 }
 
-// A server's own failure is passed on with its status and signature, unchanged.
+// A server's own failure is relayed with its status, body and signature unchanged.
 TEST(platform_calls, failure_of_a_server_is_passed_on_as_it_is)
 {
     entry_world world(one_server());
--- a/tests/platform/requests_test.cpp
+++ b/tests/platform/requests_test.cpp
@@ -1,4 +1,4 @@
-// What of a caller's request reaches a server, and what never does.
+// Which parts of a caller's request reach a server, and which requests are refused.
 //
 // Index: fields and keys, folded lines, ambiguous requests
 #include "platform/support/entry_world.hpp"
@@ -11,8 +11,8 @@
 namespace
 {
 
-// A caller sets headers that steer engines, and its key must never reach one: a server
-// sees the workspace's name and nothing else of the caller's rights.
+// A caller sets headers that control engines. They must be removed, and so must its API
+// key: a server sees only the name of the workspace.
 TEST(platform_calls, servers_see_neither_keys_nor_fields_that_only_the_system_sets)
 {
     entry_world world(one_server());
@@ -38,8 +38,8 @@
     EXPECT_LE(std::stoi(seen.field("deadline-ms")), 5000);
 }
 
-// A field that is folded over two lines could be read as two fields by a server that
-// doesn't know folding. It goes on as one line.
+// A server without support for line folding could read a folded field as two fields. It
+// must be forwarded as one line.
 TEST(platform_calls, folded_field_goes_on_as_one_line)
 {
     entry_world world(one_server());
@@ -51,7 +51,7 @@
     EXPECT_EQ(seen.field("tenant"), "north");
 }
 
-/// A request that two readers could see differently, and what it gets.
+/// A request that is ambiguous or too large, and the status of its refusal.
 struct bad_input
 {
     char const* name;
@@ -66,8 +66,9 @@
            fields;
 }
 
-// A second request hidden in the body of a first runs with the first one's rights, if the
-// daemon and a server disagree on where the first ends. None of these may reach a server.
+// Request smuggling: if the daemon and a server disagree on where a request ends, a
+// second one in its body runs with the first one's rights. None of these may reach a
+// server.
 TEST(platform_calls, ambiguous_or_oversized_requests_reach_no_server)
 {
     auto const hidden = std::string{"POST /once/x HTTP/1.1\r\nHost: shop.example\r\n"
--- a/tests/platform/sends_test.cpp
+++ b/tests/platform/sends_test.cpp
@@ -1,6 +1,6 @@
-// How often a call is sent, to which server, and what its caller may conclude.
+// The attempts of a call: their number, their servers, and the final response.
 //
-// Index: calls of unknown fate, refusals, crashing requests, times
+// Index: calls of unknown fate, refusals, crashing requests, deadlines
 #include "platform/support/entry_world.hpp"
 #include "platform/support/raw_caller.hpp"
 #include "support/eventually.hpp"
@@ -17,9 +17,9 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// A print order is sent, and the server's connection is reset before an answer. It may
-// have been printed. Sending it again prints it twice, and 503 would make the school send
-// it again.
+// The connection is reset before the response to a call that may not be repeated. The
+// call may have run: another attempt could run it twice, and 503 would make the caller
+// repeat it.
 TEST(platform_calls, call_of_unknown_fate_is_neither_repeated_nor_called_not_run)
 {
     entry_world world;
@@ -35,7 +35,7 @@
     EXPECT_EQ(world.server(0).arrivals().size() + world.server(1).arrivals().size(), 1U);
 }
 
-// The same for a lookup that may run more than once: another server answers it.
+// The connection is reset, but the call may run more than once: another server serves it.
 TEST(platform_calls, repeatable_call_is_served_by_another_server_after_a_reset)
 {
     entry_world world;
@@ -52,8 +52,8 @@
     }
 }
 
-// All servers are full and say that they have not run the order. That is a refusal which
-// the caller may repeat, so it must be told so and when, at once.
+// All servers are full and state that they have not run the call. The caller must get an
+// immediate refusal that says so, with a Retry-After.
 TEST(platform_calls, refusal_by_servers_says_not_run_and_when_to_come_back)
 {
     entry_world world(one_server());
@@ -68,12 +68,11 @@
     EXPECT_EQ(answer.status, 503);
     EXPECT_GT(std::stod(answer.fields.at("retry-after")), 0.0);
     EXPECT_NE(answer.body.find("not_run"), std::string::npos);
-    EXPECT_LT(steady_clock::now() - begin,
-              milliseconds{2000}); // of the 5000 it would wait
+    EXPECT_LT(steady_clock::now() - begin, milliseconds{2000}); // its deadline is 5000
 }
 
-// A server's address has been given to another one. That one says so and has not run the
-// order; the right one gets it.
+// The address of a server has been reused by another one, which responds that it is the
+// wrong server and has not run the call. Another server of the service must get it.
 TEST(platform_calls, order_at_a_reused_address_goes_on_to_a_living_server)
 {
     entry_world world;
@@ -87,9 +86,8 @@
     EXPECT_EQ(answer.body, "served by i-1");
 }
 
-// A service has one server, which answers a lookup slowly. Cutting the first try short to
-// leave time for another server, which there isn't, would turn a late answer into a
-// failure.
+// The only server of a service responds slowly. The first attempt must get all of the
+// time: leaving half of it for another server would turn a late response into a failure.
 TEST(platform_calls, only_server_of_a_service_gets_all_the_time_there_is)
 {
     entry_world world(one_server());
@@ -104,8 +102,8 @@
     EXPECT_EQ(world.server(0).arrivals().size(), 1U);
 }
 
-// The same where a crashed server starts again under the id that it had, and the request
-// meets it there a second time: two crashes are two, though they bear one server's name.
+// A crashed server restarts with the same id, and the request crashes it again. These
+// must be counted as two crashes, after which the request is blocked.
 TEST(platform_calls, two_crashes_of_one_server_count_as_two)
 {
     entry_world world(one_server());
@@ -118,13 +116,13 @@
     for (int call = 0; call < 6; ++call)
     {
         ask(world.callers_port(), {.path = "/once/x", .id = std::to_string(call)});
-        std::this_thread::sleep_for(milliseconds{300}); // the server starts again
+        std::this_thread::sleep_for(milliseconds{300}); // the server restarts
     }
     EXPECT_EQ(world.server(0).arrivals().size(), 2U);
 }
 
-// No server of a service can be reached. The caller is told at once that nothing has run;
-// connecting over and over until its deadline would leave it no time to come back.
+// No server of a service can be reached. The call must be refused at once as not run;
+// repeated connects until the deadline would leave the caller no time to retry.
 TEST(platform_calls, service_out_of_reach_is_refused_at_once)
 {
     entry_world world({.servers = 0});
@@ -137,13 +135,12 @@
     auto const answer = ask(world.callers_port(), {.path = "/once/x"});
     EXPECT_EQ(answer.status, 503);
     EXPECT_NE(answer.body.find("not_run"), std::string::npos);
-    EXPECT_LT(steady_clock::now() - begin,
-              milliseconds{2500}); // of the 5000 it would wait
+    EXPECT_LT(steady_clock::now() - begin, milliseconds{2500}); // its deadline is 5000
 }
 
-// A request crashes each server that runs it, and its caller sends it again, to any VM.
-// Two servers are lost to it at most; after that no VM lets it through, and others are
-// served.
+// A request crashes every server that runs it, and its caller repeats it at any VM. It
+// may crash two servers at most; then all VMs must refuse it and still serve other
+// requests.
 TEST(platform_calls, request_that_crashes_servers_is_stopped_after_two)
 {
     entry_world world({.daemons = 2, .servers = 4});
@@ -161,7 +158,7 @@
     {
         world.server(index).always(crash);
     }
-    std::this_thread::sleep_for(milliseconds{2500}); // the VMs have found each other
+    std::this_thread::sleep_for(milliseconds{2500}); // the VMs have discovered each other
     for (int call = 0; call < 8; ++call)
     {
         ask(world.callers_port(call % 2),
@@ -181,8 +178,8 @@
               200);
 }
 
-// A server takes an order and never answers. The caller's time ends: the answer is that
-// the outcome is unknown, given at once and not left to the caller's own clock.
+// A server takes a call and never responds. At the deadline, the caller must get a
+// response that the outcome is unknown.
 TEST(platform_calls, silent_server_ends_in_a_timely_unknown_outcome)
 {
     entry_world world(one_server());
--- a/tests/platform/streams_test.cpp
+++ b/tests/platform/streams_test.cpp
@@ -1,6 +1,6 @@
-// Streams and prompts read apart, and callers that leave.
+// Streams, prefill on separate engines, and callers that disconnect.
 //
-// Index: 1 streams, 2 leaving callers
+// Index: 1 streams, 2 disconnecting callers
 #include "platform/support/entry_world.hpp"
 #include "platform/support/raw_caller.hpp"
 #include "support/eventually.hpp"
@@ -51,9 +51,10 @@
     return all;
 }
 
-// A teacher reads a wording; its engine crashes in the middle of a piece. The route
-// allows another engine to go on: every piece must come once, in order, whole.
-TEST(platform_calls, resumable_stream_goes_on_at_another_server_without_a_seam)
+// An engine crashes in the middle of an event, on a route whose streams may be resumed.
+// Another engine must resume the stream, and the caller must get every event once, in
+// order and complete.
+TEST(platform_calls, resumable_stream_continues_on_another_server_without_gap_or_repeat)
 {
     entry_world world;
     auto const  serve = [&](wire_request const& request, wire_connection& connection)
@@ -69,7 +70,8 @@
     EXPECT_EQ(answer.body, events(1, 6));
 }
 
-// An engine goes dark with a stream that hasn't begun: no reset tells of it.
+// An engine stops responding before the first event, without a reset. The call must be
+// sent to another engine.
 TEST(platform_calls, resumable_stream_without_a_first_event_goes_to_another_server)
 {
     entry_world world;
@@ -88,8 +90,8 @@
     }
 }
 
-// Where a stream may not be resumed, it ends broken: it must not look whole, and the call
-// must not run a second time.
+// A stream that may not be resumed is interrupted. It must not appear to be complete, and
+// the call must not run a second time.
 TEST(platform_calls, broken_stream_does_not_look_whole)
 {
     entry_world world;
@@ -102,7 +104,7 @@
     EXPECT_EQ(world.server(0).arrivals().size() + world.server(1).arrivals().size(), 1U);
 }
 
-// Pieces must reach the caller as they are made, not with the end of the stream.
+// Events must reach the caller as they are generated, not at the end of the stream.
 TEST(platform_calls, events_are_passed_on_while_the_stream_runs)
 {
     entry_world       world(one_server());
@@ -123,8 +125,8 @@
     EXPECT_TRUE(caller.read().whole);
 }
 
-// The prompt is read by one engine and decoded by another. If the caller leaves in
-// between, nobody will fetch the prompt's cache: it must be freed and nothing sent on.
+// A prompt is prefilled on one engine and the call decoded on another, which must get the
+// address and handle of the KV cache.
 TEST(platform_calls, prompt_read_apart_is_fetched_by_the_decoding_engine)
 {
     entry_world world;
@@ -151,9 +153,9 @@
     EXPECT_EQ(run.field("prefix-hash"), "aa:1000,bb:8000");
 }
 
-// Engines that read prompts turn them all away. Each such call goes on at another engine
-// and is one arrival more; without a bound a full fleet gets twice the calls. Beyond this
-// VM's share of retries the caller is told to come back.
+// Prefill engines refuse all prompts, and each such call is sent to another engine.
+// Without a bound, a full fleet would get twice the calls, so the second attempt must be
+// taken from the retry budget; once it is exhausted, the call is refused.
 TEST(platform_calls, reads_that_are_turned_away_draw_on_the_retries)
 {
     entry_world world({.bounds = "retry_ratio = 0\nretry_slack = 1\n"});
@@ -170,15 +172,16 @@
                                   .fields = "Model: m\r\nToken-Count: 9000,5\r\n"
                                             "Prefix-Hash: aa:1000,bb:8000\r\n"};
     EXPECT_EQ(ask(world.callers_port(), options).body, "served by i-1");
-    std::this_thread::sleep_for(milliseconds{400}); // the full engine is tried again
+    std::this_thread::sleep_for(milliseconds{400}); // its backoff is over
     auto const second = ask(world.callers_port(), options);
     EXPECT_EQ(second.status, 503);
     EXPECT_NE(second.body.find("budget"), std::string::npos);
     EXPECT_EQ(world.server(1).arrivals().size(), 1U);
 }
 
-// Engines that go down and up cut the reads of a large fleet. Each of these has been an
-// arrival: not counted, the deployment's retries are overspent by all VMs together.
+// Engines that restart interrupt prefills. Each of them has reached an engine; if the
+// following attempt weren't taken from the retry budget, the VMs together would exceed
+// the allowed retries.
 TEST(platform_calls, reads_that_break_off_draw_on_the_retries)
 {
     entry_world world({.bounds = "retry_ratio = 0\nretry_slack = 1\n"});
@@ -190,16 +193,15 @@
                                   .fields = "Model: m\r\nToken-Count: 9000,5\r\n"
                                             "Prefix-Hash: aa:1000,bb:8000\r\n"};
     EXPECT_EQ(ask(world.callers_port(), options).body, "served by i-1");
-    std::this_thread::sleep_for(milliseconds{700}); // the lost engine is tried again
+    std::this_thread::sleep_for(milliseconds{700}); // its backoff is over
     auto const second = ask(world.callers_port(), options);
     EXPECT_EQ(second.status, 503);
     EXPECT_NE(second.body.find("budget"), std::string::npos);
     EXPECT_EQ(world.server(1).arrivals().size(), 1U);
 }
 
-// An engine reads a prompt and its answer is lost without a reset. A read may be
-// repeated, so the call must go on elsewhere in time, and not wait for the answer until
-// its caller leaves.
+// The response to a prefill is lost without a reset. A prefill may be repeated, so the
+// call must be sent to another engine in time, and not wait until its caller disconnects.
 TEST(platform_calls, lost_answer_of_a_read_does_not_use_up_the_callers_time)
 {
     entry_world world;
@@ -220,10 +222,10 @@
     EXPECT_EQ(world.server(1).arrivals().at(0).field("kv-source"), "");
 }
 
-// 2. Leaving callers
+// 2. Disconnecting callers
 
-// A teacher closes the page while the engine works. The engine must be let go at once,
-// for every second that it works on is another class's wait.
+// A caller disconnects while an engine serves its call. The connection to the engine must
+// be closed at once, since its further work would delay other callers.
 TEST(platform_calls, server_is_released_when_the_caller_leaves)
 {
     entry_world       world(one_server());
@@ -241,8 +243,8 @@
     EXPECT_TRUE(eventually([&] { return released.load(); }));
 }
 
-// A VM is so busy that it reads a call after its caller has given it up. Sent on, it
-// would take an engine's time from callers who wait.
+// An overloaded VM reads a call after its caller has disconnected. It must not forward
+// the call, which would take an engine's time from other callers.
 TEST(platform_calls, call_read_after_its_caller_left_reaches_no_server)
 {
     entry_world world(one_server());
