--- a/src/serving/call_notes.hpp
+++ b/src/serving/call_notes.hpp
@@ -41,10 +41,9 @@
 struct attempt_plan
 {
     std::string_view server;
-    std::string_view
-        work; // "call", "prompt" (prefill only) or "run" (decode after a handoff)
-    std::int64_t run = 0; // attempts to run this call before this one
-    placement    planned; // tokens to prefill there, and the expected times
+    std::string_view work;    // "call"; "prompt": prefill only; "run": decode only
+    std::int64_t     run = 0; // attempts to run this call before this one
+    placement        planned; // tokens to prefill there, and the expected times
 };
 
 /// Lives as long as its call.
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -221,8 +221,7 @@
                 own_response const refusal{503, call_fate::not_run, "queue", back};
                 co_return co_await send_own_response(refusal);
             }
-            auto decode_server =
-                *first->server; // copies: the server list may change during I/O
+            auto           decode_server = *first->server; // copy: the list may change
             backend_server prefill_server;
             std::string    source;
             auto           planned = *first;
--- a/src/serving/call_sends.hpp
+++ b/src/serving/call_sends.hpp
@@ -19,11 +19,10 @@
 /// How one attempt ended.
 struct attempt_result
 {
-    std::string   server;
-    exchange_fate fate = exchange_fate::unknown;
-    std::string_view
-             fault; // of a fixed set of words; empty: the response was interrupted
-    unsigned status = 0;
+    std::string      server;
+    exchange_fate    fate = exchange_fate::unknown;
+    std::string_view fault; // of a fixed set of words; empty: response interrupted
+    unsigned         status = 0;
 };
 
 /// Decides on attempts from the rules, the deadline, the service's retry budget and the
--- a/src/serving/caller_link.hpp
+++ b/src/serving/caller_link.hpp
@@ -57,9 +57,8 @@
     boost::beast::flat_buffer buffer_;
     boost::asio::steady_timer check_timer_;
     std::function<void()>     on_disconnect_;
-    std::uint64_t             watch_number_ =
-        0; // number of the watch; timers of earlier ones are ignored
-    bool disconnected_ = false;
+    std::uint64_t             watch_number_ = 0; // timers of earlier ones are ignored
+    bool                      disconnected_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/handle_release.cpp
+++ b/src/serving/handle_release.cpp
@@ -12,8 +12,7 @@
 namespace
 {
 
-constexpr millis release_timeout{
-    1000}; // 1000  ms; for the whole request; then the handle expires by itself
+constexpr millis release_timeout{1000}; // 1000  ms; then the handle expires by itself
 
 asio::awaitable<void> send_release(std::shared_ptr<http_connection> link,
                                    socket_address engine, http_request request)
--- a/src/serving/http_connection.cpp
+++ b/src/serving/http_connection.cpp
@@ -27,8 +27,7 @@
 namespace
 {
 
-constexpr std::size_t background_bytes =
-    4096; // longer bodies are written in the background
+constexpr std::size_t background_bytes = 4096; // longer bodies are sent in the background
 
 link_step io_result_of(error_code const& error)
 {
--- a/src/serving/quota_gate.hpp
+++ b/src/serving/quota_gate.hpp
@@ -35,9 +35,8 @@
 struct quota_hold
 {
     std::string  workspace;
-    std::int64_t units = 0; // 0  none have been granted
-    std::string
-        granted_by; // address of the VM that granted them; empty: this VM, while isolated
+    std::int64_t units = 0;  // 0  none have been granted
+    std::string  granted_by; // address of the granting VM; empty: this VM, isolated
 
     bool operator==(quota_hold const&) const = default;
 };
@@ -106,14 +105,12 @@
     void log_refusal(caller_call const& call, workspace const& owner,
                      quota_hold const& hold, quota_answer const& answer);
 
-    entry_state&             state_;
-    quota_home               home_;
-    std::vector<std::string> owners_;
-    std::map<std::string, boot_clock::time_point>
-        backoff_until_; // by address: asked last until then
-    std::map<std::string, quota_bucket>
-                           isolated_buckets_; // by workspace; used while no VM replies
-    std::unique_ptr<links> links_;
+    entry_state&                                  state_;
+    quota_home                                    home_;
+    std::vector<std::string>                      owners_;
+    std::map<std::string, boot_clock::time_point> backoff_until_; // asked last until then
+    std::map<std::string, quota_bucket> isolated_buckets_;        // while no VM replies
+    std::unique_ptr<links>              links_;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/server_exchange.hpp
+++ b/src/serving/server_exchange.hpp
@@ -21,10 +21,9 @@
 {
     http_request message;
     std::string  call_id;
-    bool         not_repeatable =
-        false; // can't be sent again: reuse only recently used connections
-    bool      internal = false; // the response isn't relayed and needs no signature
-    loop_time until{};
+    bool         not_repeatable = false; // reuses only recently used connections
+    bool         internal = false; // the response isn't relayed and needs no signature
+    loop_time    until{};
 };
 
 /// Holds the connection until the response has been read, then returns it to the pool or
@@ -140,8 +139,7 @@
 
 private:
     static constexpr int         max_stray_responses = 4;
-    static constexpr std::size_t max_body_size =
-        16U << 20U; // 16 MiB; body of a plain response
+    static constexpr std::size_t max_body_size = 16U << 20U; // 16 MiB; plain responses
     // 400  ms; far above any round trip within a region: the server is unreachable or its
     //      accept queue is full, and another one is tried
     static constexpr millis connect_timeout{400};
--- a/src/serving/stream_relay.hpp
+++ b/src/serving/stream_relay.hpp
@@ -1,5 +1,4 @@
-// Builds the caller's stream from the streams of one or more servers: one head, complete
-// events.
+// Builds the caller's stream of events from the streams of one or more servers.
 //
 // Index: stream_relay
 #ifndef MARIGOLDCRANK_SERVING_STREAM_RELAY_HPP
@@ -26,8 +25,7 @@
     /// connection is closed. `close`: the connection is closed after the stream.
     stream_relay(bool close, bool chunked);
 
-    /// Starts the stream of the next server. A partial event of the previous one is
-    /// dropped.
+    /// Starts the stream of the next server; drops a partial event of the previous one.
     void begin_server();
 
     /// Takes bytes of the server's body; `whole` if they complete it. Returns the bytes
--- a/src/serving/wire_dialect.hpp
+++ b/src/serving/wire_dialect.hpp
@@ -38,10 +38,9 @@
     millis       left{0};   // time left; the server stops the call after it
     std::int64_t rank = 0;  // place in the order of urgency, most urgent first
     bool         prefill_only = false;
-    std::string
-        cache_source;       // ADDRESS/HANDLE of the KV cache to decode from; empty: none
-    std::string fetch_from; // ADDRESS of an engine with parts cached; empty: none
-    std::string resume_after; // id of the last event received; empty: from the start
+    std::string  cache_source; // ADDRESS/HANDLE of a KV cache to use; empty: none
+    std::string  fetch_from;   // ADDRESS of an engine with parts cached; empty: none
+    std::string  resume_after; // id of the last event received; empty: from the start
 
     bool operator==(onward_call const&) const = default;
 };
