--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -1,7 +1,6 @@
 // Serves one call: admits and places it, sends it to servers, relays the response.
 //
-// Index: 1 connection_disposition, 2 call_runner: plain calls, streams, prefill,
-// attempts, ends
+// Index: 1 connection_disposition, 2 call_runner: plain calls, streams, prefill, ends
 //
 // A call that may not be repeated is sent again only if the server has stated that it did
 // not run it, or if no byte of it was sent. The caller gets 503 only if that holds for
@@ -213,12 +212,12 @@
             {
                 co_return co_await end_without_server();
             }
-            auto const back =
+            auto const retry_after =
                 wait_checked_ ? std::nullopt : placement_.queue_retry_after(*first);
             wait_checked_ = true;
-            if (back)
+            if (retry_after)
             {
-                own_response const refusal{503, call_fate::not_run, "queue", back};
+                own_response const refusal{503, call_fate::not_run, "queue", retry_after};
                 co_return co_await send_own_response(refusal);
             }
             auto           decode_server = *first->server; // copy: the list may change
@@ -385,9 +384,9 @@
     relay_complete_events(exchange& link, std::string const& bytes, bool whole)
     {
         bool const began = stream_.started();
-        auto const events = stream_.pieces();
+        auto const events = stream_.chunk_count();
         auto const out = stream_.take(link.head(), bytes, whole);
-        if (stream_.pieces() > events)
+        if (stream_.chunk_count() > events)
         {
             timing_.record_events(boot_clock::now());
         }
@@ -426,7 +425,7 @@
         auto const now = boot_clock::now();
         state_.health.succeeded(link.server().id);
         state_.crashes.answered(admitted_.content, now);
-        placement_.record_stream(stream_.pieces(), now - timing_.first(),
+        placement_.record_stream(stream_.chunk_count(), now - timing_.first(),
                                  timing_.longest_pause());
         state_.counters.observe("longest_pause_seconds", timing_.longest_pause());
         outcome_ = "served";
--- a/src/serving/caller_link.hpp
+++ b/src/serving/caller_link.hpp
@@ -27,7 +27,7 @@
     /// them by `until`.
     boost::asio::awaitable<bool> write(std::string_view bytes, loop_time until);
 
-    /// Calls `on_disconnect` once if the caller closes its side before `unwatch` is
+    /// Calls `on_disconnect` once if the caller closes its side before `stop_watching` is
     /// called.
     void watch_disconnect(std::function<void()> on_disconnect);
     void stop_watching();
--- a/src/serving/connection_pool.hpp
+++ b/src/serving/connection_pool.hpp
@@ -30,8 +30,8 @@
     explicit connection_pool(pool_options options = {});
 
     /// Takes the most recently used connection to `server`, or null if none can be reused
-    /// safely. With `careful`, for calls that can't be sent again, it must have been idle
-    /// for less than half of the allowed time.
+    /// safely. With `not_repeatable`, for calls that can't be sent again, it must have
+    /// been idle for less than half of the allowed time.
     std::shared_ptr<http_connection> take(std::string const& server, bool not_repeatable,
                                           loop_time now);
 
--- a/src/serving/model_placing.cpp
+++ b/src/serving/model_placing.cpp
@@ -187,12 +187,12 @@
     meter().handed_over(took);
 }
 
-void model_placement::record_stream(std::int64_t pieces, boot_clock::duration took,
+void model_placement::record_stream(std::int64_t chunk_count, boot_clock::duration took,
                                     boot_clock::duration longest_pause)
 {
-    state_.pauses[admitted_.service_name].ended(pieces, longest_pause,
+    state_.pauses[admitted_.service_name].ended(chunk_count, longest_pause,
                                                 admitted_.matched->event_gap);
-    meter().stream(pieces, took, boot_clock::now());
+    meter().stream(chunk_count, took, boot_clock::now());
 }
 
 } // namespace marigoldcrank
--- a/src/serving/model_placing.hpp
+++ b/src/serving/model_placing.hpp
@@ -58,8 +58,8 @@
     /// Records the time to the first event of a handoff.
     void record_handoff(boot_clock::duration took);
 
-    /// Records a complete stream: its number of writes, their time and the longest pause.
-    void record_stream(std::int64_t pieces, boot_clock::duration took,
+    /// Records a complete stream: its number of chunks, their time and the longest pause.
+    void record_stream(std::int64_t chunk_count, boot_clock::duration took,
                        boot_clock::duration longest_pause);
 
 private:
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -126,19 +126,19 @@
                        entry_state& state, record_link& records)
     : state_(state), links_(std::make_unique<links>(loop, context))
 {
-    records.answer_others([this](std::string const& question)
-                          { return reply_to_vm(question); });
+    records.answer_others([this](std::string const& serialized)
+                          { return reply_to_vm(serialized); });
 }
 
 quota_gate::~quota_gate() = default;
 
-void quota_gate::follow(std::vector<std::string> const& homes)
+void quota_gate::follow(std::vector<std::string> const& owners)
 {
     home_.terms(terms());
-    owners_ = homes;
+    owners_ = owners;
     auto const gone = [&](auto const& each)
     {
-        return std::find(homes.begin(), homes.end(), each.first) == homes.end();
+        return std::find(owners.begin(), owners.end(), each.first) == owners.end();
     };
     std::erase_if(links_->sockets, gone);
     std::erase_if(backoff_until_, gone);
@@ -178,40 +178,40 @@
 std::vector<std::string> quota_gate::order(std::string const& workspace) const
 {
     auto const now = boot_clock::now();
-    auto const silent = [&](std::string const& home)
+    auto const silent = [&](std::string const& vm)
     {
-        auto const found = backoff_until_.find(home);
+        auto const found = backoff_until_.find(vm);
         return found != backoff_until_.end() && now < found->second;
     };
     // A VM whose digests are missing may still reply, since digests come through relays.
-    auto const unreachability = [&](std::string const& home)
+    auto const unreachability = [&](std::string const& vm)
     {
-        return (silent(home) ? 2 : 0) + (state_.heard_lately(home, now) ? 0 : 1);
+        return (silent(vm) ? 2 : 0) + (state_.heard_lately(vm, now) ? 0 : 1);
     };
     constexpr int unreachable = 3; // no digests and no replies
-    auto          homes = order_homes(workspace, owners_);
-    std::erase_if(homes, [&](std::string const& each)
+    auto          owners = order_homes(workspace, owners_);
+    std::erase_if(owners, [&](std::string const& each)
                   { return unreachability(each) == unreachable; });
-    std::stable_sort(homes.begin(), homes.end(),
+    std::stable_sort(owners.begin(), owners.end(),
                      [&](std::string const& left, std::string const& right)
                      { return unreachability(left) < unreachability(right); });
-    return homes;
+    return owners;
 }
 
 asio::awaitable<std::optional<quota_answer>> quota_gate::query(std::string address,
-                                                               quota_ask   question)
+                                                               quota_ask   request)
 {
     if (address == state_.contact.records)
     {
-        co_return reply_as_owner(question);
+        co_return reply_as_owner(request);
     }
     auto const           number = ++links_->number;
     auto const           pending = std::make_shared<open_query>(links_->loop);
     wire::quota_question message;
     message.set_number(number);
-    message.set_workspace(question.workspace);
-    message.set_units(question.units);
-    message.set_left(question.left);
+    message.set_workspace(request.workspace);
+    message.set_units(request.units);
+    message.set_left(request.left);
     links_->open_queries[number] = pending;
     pending->timer.expires_after(reply_timeout);
     links_->send(address, message);
@@ -240,19 +240,20 @@
 }
 
 asio::awaitable<std::optional<own_response>>
-quota_gate::admit(caller_call const& call, workspace const& owner, quota_hold& hold)
+quota_gate::admit(caller_call const& call, workspace const& caller_workspace,
+                  quota_hold& hold)
 {
     auto const   began = boot_clock::now();
-    auto const   units = quota_cost(*owner.quota, call);
+    auto const   units = quota_cost(*caller_workspace.quota, call);
     quota_answer answer;
-    hold = {.workspace = owner.name};
+    hold = {.workspace = caller_workspace.name};
     co_await wait_for_fleet();
-    quota_course course{order(owner.name)};
+    quota_course course{order(caller_workspace.name)};
     while (!course.address().empty())
     {
         hold.granted_by = course.address();
-        quota_ask  question{owner.name, units, course.left()};
-        auto const reply = co_await query(hold.granted_by, std::move(question));
+        quota_ask  request{caller_workspace.name, units, course.left()};
+        auto const reply = co_await query(hold.granted_by, std::move(request));
         answer = reply.value_or(quota_answer{});
         bool const declined = answer.outcome == quota_outcome::declined;
         course.take(!reply     ? quota_reply::silent
@@ -263,7 +264,7 @@
     if (!course.decided())
     {
         hold.granted_by.clear();
-        answer = decide_isolated(owner.name, units, *owner.quota);
+        answer = decide_isolated(caller_workspace.name, units, *caller_workspace.quota);
     }
     state_.counters.observe("quota_seconds", boot_clock::now() - began);
     if (answer.outcome == quota_outcome::granted)
@@ -271,7 +272,7 @@
         hold.units = units;
         co_return std::nullopt;
     }
-    log_refusal(call, owner, hold, answer);
+    log_refusal(call, caller_workspace, hold, answer);
     co_return own_response{429, call_fate::not_run, "quota", answer.retry_after};
 }
 
@@ -317,12 +318,13 @@
 {
     auto const  now = boot_clock::now();
     auto const& rules = state_.view.rules;
-    auto const* owner = rules ? rules->find_workspace_named(ask.workspace) : nullptr;
-    if (owner == nullptr)
+    auto const* caller_workspace =
+        rules ? rules->find_workspace_named(ask.workspace) : nullptr;
+    if (caller_workspace == nullptr)
     {
         return {};
     }
-    if (!owner->quota)
+    if (!caller_workspace->quota)
     {
         return {.outcome = quota_outcome::granted};
     }
@@ -334,13 +336,13 @@
         bool const before = !view.listed && view.ahead.empty() && each != ask.left;
         view.ahead = before && state_.heard_lately(each, now) ? each : view.ahead;
     }
-    return home_.answer(ask, *owner->quota, view, now);
+    return home_.answer(ask, *caller_workspace->quota, view, now);
 }
 
-std::string quota_gate::reply_to_vm(std::string const& question)
+std::string quota_gate::reply_to_vm(std::string const& serialized)
 {
     wire::quota_question message;
-    if (!message.ParseFromString(question))
+    if (!message.ParseFromString(serialized))
     {
         state_.counters.add("quota_questions_unreadable_total");
         return "";
@@ -363,16 +365,16 @@
 
 // 5. Refusals
 
-void quota_gate::log_refusal(caller_call const& call, workspace const& owner,
+void quota_gate::log_refusal(caller_call const& call, workspace const& caller_workspace,
                              quota_hold const& hold, quota_answer const& answer)
 {
     state_.log.write(
         event_line{"over_quota"}
             .add("id", call.id)
-            .add("workspace", owner.name)
-            .add("units", quota_cost(*owner.quota, call))
-            .add("rate", owner.quota->rate)
-            .add("burst", owner.quota->burst)
+            .add("workspace", caller_workspace.name)
+            .add("units", quota_cost(*caller_workspace.quota, call))
+            .add("rate", caller_workspace.quota->rate)
+            .add("burst", caller_workspace.quota->burst)
             .add("left", answer.left)
             .add("keeper", hold.granted_by.empty() ? "alone" : hold.granted_by)
             .add("vms", state_.fleet.vms())
--- a/src/serving/quota_gate.hpp
+++ b/src/serving/quota_gate.hpp
@@ -58,7 +58,7 @@
     quota_gate& operator=(quota_gate const&) = delete;
 
     /// Sets the addresses of the VMs that may own quotas, and drops state of all others.
-    void follow(std::vector<std::string> const& homes);
+    void follow(std::vector<std::string> const& owners);
 
     /// The possible owners whose digests this VM has received lately.
     std::vector<std::string> homes_heard(boot_clock::time_point now) const;
@@ -67,9 +67,9 @@
     /// will be available. Takes up to three reply timeouts if VMs don't reply, and after
     /// a start the time in which VMs discover each other.
     boost::asio::awaitable<std::optional<own_response>>
-    admit(caller_call const& call, workspace const& owner, quota_hold& hold);
+    admit(caller_call const& call, workspace const& caller_workspace, quota_hold& hold);
 
-    /// Returns the units of a call that has not run.
+    /// Gives the units of a call that has not run back to the VM that granted them.
     void give_back(quota_hold const& hold);
 
 private:
@@ -91,18 +91,18 @@
     /// Decides on a query as the owner.
     quota_answer reply_as_owner(quota_ask const& ask);
     /// Replies to the serialised query of another VM; empty if it needs no reply.
-    std::string reply_to_vm(std::string const& question);
+    std::string reply_to_vm(std::string const& serialized);
 
     /// Queries a VM, or decides here if it is this one; nothing if it doesn't reply in
     /// time.
     boost::asio::awaitable<std::optional<quota_answer>> query(std::string address,
-                                                              quota_ask   question);
+                                                              quota_ask   request);
 
     /// Decides with the local bucket, while no VM replies.
     quota_answer decide_isolated(std::string const& workspace, std::int64_t units,
                                  workspace_quota const& quota);
 
-    void log_refusal(caller_call const& call, workspace const& owner,
+    void log_refusal(caller_call const& call, workspace const& caller_workspace,
                      quota_hold const& hold, quota_answer const& answer);
 
     entry_state&                                  state_;
--- a/src/serving/stream_relay.cpp
+++ b/src/serving/stream_relay.cpp
@@ -14,15 +14,15 @@
 }
 
 std::string stream_relay::take(answer_head const& head, std::string_view bytes,
-                               bool whole)
+                               bool complete)
 {
     auto events = splitter_.feed(bytes);
-    if (whole)
+    if (complete)
     {
         events.bytes += splitter_.rest();
     }
     std::string out;
-    if (!started_ && (whole || !events.bytes.empty()))
+    if (!started_ && (complete || !events.bytes.empty()))
     {
         started_ = true;
         out = format_stream_head(head, close_, chunked_);
@@ -30,13 +30,13 @@
     if (!events.bytes.empty())
     {
         out += chunked_ ? format_chunk(events.bytes) : events.bytes;
-        ++pieces_;
+        ++chunk_count_;
     }
     if (!events.last_id.empty())
     {
         last_event_ = events.last_id;
     }
-    if (whole && chunked_)
+    if (complete && chunked_)
     {
         out += last_chunk;
     }
@@ -53,9 +53,9 @@
     return last_event_;
 }
 
-std::int64_t stream_relay::pieces() const noexcept
+std::int64_t stream_relay::chunk_count() const noexcept
 {
-    return pieces_;
+    return chunk_count_;
 }
 
 } // namespace marigoldcrank
--- a/src/serving/stream_relay.hpp
+++ b/src/serving/stream_relay.hpp
@@ -28,9 +28,9 @@
     /// Starts the stream of the next server; drops a partial event of the previous one.
     void begin_server();
 
-    /// Takes bytes of the server's body; `whole` if they complete it. Returns the bytes
-    /// to send to the caller now.
-    std::string take(answer_head const& head, std::string_view bytes, bool whole);
+    /// Takes bytes of the server's body; `complete` if it ends with them. Returns the
+    /// bytes to send to the caller now.
+    std::string take(answer_head const& head, std::string_view bytes, bool complete);
 
     /// Whether the head has been returned; the status can't change from then on.
     bool started() const noexcept;
@@ -38,8 +38,8 @@
     /// The id of the last event relayed; empty if none had one.
     std::string const& last_event() const noexcept;
 
-    /// Number of writes with at least one event.
-    std::int64_t pieces() const noexcept;
+    /// Number of chunks relayed.
+    std::int64_t chunk_count() const noexcept;
 
 private:
     bool           close_;
@@ -47,7 +47,7 @@
     bool           started_ = false;
     event_splitter splitter_;
     std::string    last_event_;
-    std::int64_t   pieces_ = 0;
+    std::int64_t   chunk_count_ = 0;
 };
 
 } // namespace marigoldcrank
