--- a/src/serving/call_notes.cpp
+++ b/src/serving/call_notes.cpp
@@ -22,14 +22,14 @@
 {
 }
 
-void call_log::attempt_started(attempt_plan const& step, admitted_call const& admitted)
+void call_log::attempt_started(attempt_plan const& plan, admitted_call const& admitted)
 {
-    auto const& planned = step.planned;
+    auto const& planned = plan.planned;
     event_line  line{"send"};
     line.add("id", id_)
-        .add("server", step.server)
-        .add("work", step.work)
-        .add("run", step.run)
+        .add("server", plan.server)
+        .add("work", plan.work)
+        .add("run", plan.run)
         .add("tokens", planned.unread)
         .add("wait_ms", std::llround(planned.wait_ms))
         .add("read_ms", std::llround(planned.read_ms))
@@ -63,25 +63,26 @@
                      boot_clock::now());
 }
 
-void call_log::call_ended(call_summary const& end, admitted_call const& admitted)
+void call_log::call_ended(call_summary const& summary, admitted_call const& admitted)
 {
     auto const now = boot_clock::now();
     event_line line{"end"};
     line.add("id", id_)
-        .add("outcome", end.outcome)
-        .add("status", static_cast<std::int64_t>(end.status))
+        .add("outcome", summary.outcome)
+        .add("status", static_cast<std::int64_t>(summary.status))
         .add("route", admitted.matched == nullptr ? "" : admitted.matched->name)
-        .add("runs", end.runs)
-        .add("fault", end.fault)
-        .add("server", end.server)
+        .add("runs", summary.runs)
+        .add("fault", summary.fault)
+        .add("server", summary.server)
         .add("rules", version_of(admitted))
         .add("keys_age_ms", now - state_.view.read_sent)
-        .add("first_ms", end.timing.time_to_first_event())
-        .add("pause_ms", end.timing.longest_pause())
+        .add("first_ms", summary.timing.time_to_first_event())
+        .add("pause_ms", summary.timing.longest_pause())
         .add("took_ms", now - arrived_);
     state_.counters.observe("call_seconds", now - arrived_);
-    state_.counters.add("calls_total", "outcome=\"" + std::string{end.outcome} + "\"");
-    if (end.outcome == "served")
+    state_.counters.add("calls_total",
+                        "outcome=\"" + std::string{summary.outcome} + "\"");
+    if (summary.outcome == "served")
     {
         state_.log.write_step(id_, line, now);
     }
--- a/src/serving/call_notes.hpp
+++ b/src/serving/call_notes.hpp
@@ -53,7 +53,7 @@
     call_log(entry_state& state, std::string const& id, boot_clock::time_point arrived);
 
     /// Logs the start of an attempt, for sampled calls only.
-    void attempt_started(attempt_plan const& step, admitted_call const& admitted);
+    void attempt_started(attempt_plan const& plan, admitted_call const& admitted);
 
     /// Logs and counts a failed attempt.
     void attempt_failed(attempt_failure const& failure);
@@ -62,7 +62,7 @@
     void crash_suspected(std::string const& content, std::string const& server);
 
     /// Logs and counts the end of the call. Served calls are logged only if sampled.
-    void call_ended(call_summary const& end, admitted_call const& admitted);
+    void call_ended(call_summary const& summary, admitted_call const& admitted);
 
 private:
     entry_state&           state_;
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -64,7 +64,7 @@
         else
         {
             caller_.watch_disconnect([this] { stop(); });
-            if (is_stream() || placement_.reads_prompt())
+            if (is_stream() || placement_.needs_prefill())
             {
                 co_await serve_stream();
             }
@@ -409,7 +409,7 @@
     void record_first_event_time()
     {
         auto const took = boot_clock::now() - run_sent_at_;
-        bool const plain = placement_.reads_prompt() && attempts_.history().runs() == 1;
+        bool const plain = placement_.needs_prefill() && attempts_.history().runs() == 1;
         if (plain && run_plan_.unread > 0 && !prefill_attempted_)
         {
             placement_.record_colocated_prefill(run_plan_, took);
--- a/src/serving/call_sends.cpp
+++ b/src/serving/call_sends.cpp
@@ -12,9 +12,9 @@
 
 } // namespace
 
-call_attempts::call_attempts(entry_state& state, call_log& notes, caller_call const& call,
+call_attempts::call_attempts(entry_state& state, call_log& log, caller_call const& call,
                              admitted_call const& admitted)
-    : state_(state), log_(notes), call_(call), admitted_(admitted)
+    : state_(state), log_(log), call_(call), admitted_(admitted)
 {
 }
 
--- a/src/serving/call_sends.hpp
+++ b/src/serving/call_sends.hpp
@@ -31,7 +31,7 @@
 class call_attempts
 {
 public:
-    call_attempts(entry_state& state, call_log& notes, caller_call const& call,
+    call_attempts(entry_state& state, call_log& log, caller_call const& call,
                   admitted_call const& admitted);
 
     // Before an attempt
--- a/src/serving/caller_session.hpp
+++ b/src/serving/caller_session.hpp
@@ -37,12 +37,12 @@
     /// Serves requests until the connection closes.
     boost::asio::awaitable<void> run()
     {
-        auto after = connection_disposition::keep;
-        while (after == connection_disposition::keep)
+        auto disposition = connection_disposition::keep;
+        while (disposition == connection_disposition::keep)
         {
-            after = co_await serve_next();
+            disposition = co_await serve_next();
         }
-        if (after == connection_disposition::close)
+        if (disposition == connection_disposition::close)
         {
             co_await connection_->close_gracefully();
         }
@@ -107,12 +107,12 @@
         {
             co_return true;
         }
-        constexpr std::size_t     piece = 4096;
+        constexpr std::size_t     chunk_size = 4096;
         boost::system::error_code error;
         idle_.insert(connection_);
         connection_->stream().expires_after(limits.idle_time);
         auto const read = co_await connection_->stream().async_read_some(
-            buffer.prepare(piece),
+            buffer.prepare(chunk_size),
             boost::asio::redirect_error(boost::asio::use_awaitable, error));
         buffer.commit(read);
         bool const ended = idle_.erase(connection_) == 0; // a drain has closed this side
--- a/src/serving/http_connection.cpp
+++ b/src/serving/http_connection.cpp
@@ -151,16 +151,16 @@
         complete_ = true;
         co_return body_step::whole;
     }
-    std::array<char, body_chunk_size> piece;
+    std::array<char, body_chunk_size> chunk;
     auto&                             body = parser_->get().body();
-    body.data = piece.data();
-    body.size = piece.size();
+    body.data = chunk.data();
+    body.size = chunk.size();
     body.more = true;
     stream_.expires_at(until);
     error_code error;
     co_await http::async_read_some(stream_, buffer_, *parser_,
                                    asio::redirect_error(asio::use_awaitable, error));
-    out.append(piece.data(), piece.size() - body.size);
+    out.append(chunk.data(), chunk.size() - body.size);
     body.data = nullptr;
     if (error && error != http::error::need_buffer)
     {
--- a/src/serving/model_placing.cpp
+++ b/src/serving/model_placing.cpp
@@ -34,7 +34,7 @@
     return state_.meters[admitted_.service_name];
 }
 
-bool model_placement::reads_prompt() const
+bool model_placement::needs_prefill() const
 {
     return admitted_.target != nullptr && admitted_.target->has_engines &&
            !call_.prompt.empty();
@@ -43,22 +43,23 @@
 void model_placement::count_demand(boot_clock::time_point arrived)
 {
     // Short prompts are always prefilled colocated.
-    if (reads_prompt() && call_.own_tokens() >= placement_options{}.handover_least)
+    if (needs_prefill() && call_.own_tokens() >= placement_options{}.handover_least)
     {
         meter().prompt(call_.own_tokens(), arrived);
     }
 }
 
 std::optional<placement>
-model_placement::choose_first(std::vector<candidate> const& candidates, bool apart)
+model_placement::choose_first(std::vector<candidate> const& candidates,
+                              bool                          allow_handoff)
 {
     auto const& centre = state_.settings.data_centre;
-    if (reads_prompt() && apart)
+    if (needs_prefill() && allow_handoff)
     {
         return place_model(with_cached_tokens(candidates), call_, costs(), centre,
                            state_.ticket(), state_.placing());
     }
-    auto const* server = reads_prompt()
+    auto const* server = needs_prefill()
                              ? choose_decode_engine(candidates)
                              : place_plain(candidates, centre, state_.ticket());
     if (server == nullptr)
@@ -77,7 +78,7 @@
 
 std::optional<millis> model_placement::queue_retry_after(placement const& placed) const
 {
-    if (!reads_prompt() || !state_.settings.refuse)
+    if (!needs_prefill() || !state_.settings.refuse)
     {
         return std::nullopt;
     }
@@ -104,23 +105,23 @@
 
 loop_time model_placement::first_event_deadline(placement const& placed) const
 {
-    auto const patience = admitted_.matched->objective * first_event_objectives;
-    auto const end = std::max(prefill_deadline(placed), loop_clock::now() + patience);
+    auto const min_wait = admitted_.matched->objective * first_event_objectives;
+    auto const end = std::max(prefill_deadline(placed), loop_clock::now() + min_wait);
     return std::min(admitted_.deadline, end);
 }
 
 engine_costs model_placement::costs() const
 {
-    auto const& reads = meter().reads();
+    auto const& prefills = meter().reads();
     auto const& beside = meter().beside();
     auto const& pauses = state_.pauses[admitted_.service_name];
-    return {.read_speed = reads.speed(),
+    return {.read_speed = prefills.speed(),
             .beside_speed = beside.speed(),
             .beside_fixed_ms = beside.fixed_ms(),
-            .read_fixed_ms = reads.fixed_ms(),
-            .handover_ms = reads.handover_ms(),
+            .read_fixed_ms = prefills.fixed_ms(),
+            .handover_ms = prefills.handover_ms(),
             .beside_streams = pauses.beside_streams(state_.settings.beside),
-            .observed = reads.observed(),
+            .observed = prefills.observed(),
             .unheard_ms = state_.settings.spread ? unheard_ms() : 0,
             .choices = state_.settings.spread && state_.relays_used() ? choices : 0};
 }
@@ -156,10 +157,10 @@
 
 void model_placement::record_attempt(std::string const& server, placement const& planned)
 {
-    if (reads_prompt())
+    if (needs_prefill())
     {
-        auto const reading = millis{std::llround(planned.wait_ms + planned.read_ms)};
-        state_.prefixes.sent(server, call_.prompt, reading, boot_clock::now());
+        auto const prefill_time = millis{std::llround(planned.wait_ms + planned.read_ms)};
+        state_.prefixes.sent(server, call_.prompt, prefill_time, boot_clock::now());
     }
 }
 
--- a/src/serving/model_placing.hpp
+++ b/src/serving/model_placing.hpp
@@ -22,15 +22,15 @@
                     admitted_call const& admitted);
 
     /// Whether the call is placed by the prefill of its prompt.
-    bool reads_prompt() const;
+    bool needs_prefill() const;
 
     /// Adds the prompt to the demand by which engines are split into roles.
     void count_demand(boot_clock::time_point arrived);
 
     /// Chooses the server for the next attempt; nothing if no server can take the call.
-    /// `apart` allows prefill and decode on different engines.
+    /// `allow_handoff` allows prefill and decode on different engines.
     std::optional<placement> choose_first(std::vector<candidate> const& candidates,
-                                          bool                          apart);
+                                          bool                          allow_handoff);
 
     /// Chooses the engine that decodes after a handoff; null if there is none.
     backend_server const* choose_decode_engine(std::vector<candidate> const& candidates);
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -38,9 +38,11 @@
 
 // 256   queries queued for one VM
 constexpr int max_queued_queries = 256;
-// 150   ms; half of the time in which the fastest calls must be served
+// 150   ms; a VM that doesn't reply in this time is skipped. Half of the time in which
+//       the fastest calls must be served
 constexpr millis reply_timeout{150};
-// 1000  ms; a VM that has not replied is asked last for this time
+// 1000  ms; a VM that has not replied is asked last for this time, unless another VM
+//       knows it to be alive
 constexpr millis silence_backoff{1000};
 // 300   ms; Retry-After while no owner replies; another VM may have taken over by then
 constexpr millis isolated_retry_after{300};
@@ -85,9 +87,9 @@
         return *socket;
     }
 
-    void send(std::string const& address, wire::quota_question const& question)
+    void send(std::string const& address, wire::quota_question const& query)
     {
-        auto const bytes = question.SerializeAsString();
+        auto const bytes = query.SerializeAsString();
         auto&      socket = socket_to(address);
         static_cast<void>(
             socket.socket().send(zmq::buffer(query_kind),
