--- a/src/serving/call_admission.cpp
+++ b/src/serving/call_admission.cpp
@@ -1,4 +1,4 @@
-// Route, key, content, time.
+// Checks of a call on arrival: rules, route, API key and poison content.
 #include "serving/call_admission.hpp"
 
 #include <algorithm>
@@ -11,16 +11,17 @@
 
 // 5000 ms; a request that has crashed two servers isn't run again, but its caller may
 //      have changed it by then
-constexpr millis poison_pause{5000};
-// 60000 ms; for callers that state no patience
-constexpr millis unstated_patience{60000};
+constexpr millis poison_retry_after{5000};
+// 60000 ms; deadline of calls that state none
+constexpr millis default_timeout{60000};
 
-/// Failure guarded against: a withdrawn key that goes on working at a VM which can't
-/// reach the store. Once its knowledge is too old, the VM refuses keyed calls as not run.
-std::optional<own_reply> check_key(caller_call const& call, bool fresh,
-                                   admitted_call& admitted)
+/// Checks the call's API key. While a VM can't reach the store, it doesn't hear of
+/// withdrawn keys; once its rules are too old, it refuses every call that needs a key as
+/// not run.
+std::optional<own_response> check_key(caller_call const& call, bool fresh,
+                                      admitted_call& admitted)
 {
-    admitted.owner =
+    admitted.caller_workspace =
         call.key.empty() ? nullptr : admitted.rules->find_workspace(call.key);
     if (!admitted.rules->keyed() || admitted.matched->open)
     {
@@ -28,18 +29,18 @@
     }
     if (!fresh)
     {
-        return own_reply{503, call_fate::not_run, "stale_keys", soon};
+        return own_response{503, call_fate::not_run, "stale_keys", refusal_retry_after};
     }
-    if (admitted.owner == nullptr)
+    if (admitted.caller_workspace == nullptr)
     {
-        return own_reply{401, call_fate::final_refusal, "unknown_key", std::nullopt};
+        return own_response{401, call_fate::final_refusal, "unknown_key", std::nullopt};
     }
     return std::nullopt;
 }
 
 loop_time deadline_of(caller_call const& call, route const& matched)
 {
-    auto patience = call.patience.value_or(unstated_patience);
+    auto patience = call.patience.value_or(default_timeout);
     if (matched.timeout.count() > 0)
     {
         patience = std::min(patience, matched.timeout);
@@ -49,23 +50,25 @@
 
 } // namespace
 
-std::optional<own_reply> admit_call(entry_state& state, caller_call const& call,
-                                    std::string const&     body,
-                                    boot_clock::time_point arrived,
-                                    admitted_call&         admitted)
+std::optional<own_response> admit_call(entry_state& state, caller_call const& call,
+                                       std::string const&     body,
+                                       boot_clock::time_point arrived,
+                                       admitted_call&         admitted)
 {
     bool const fresh = state.keys_fresh(arrived);
     admitted.rules = state.view.rules;
     admitted.content = content_of(call, body);
     if (!admitted.rules)
     {
-        return own_reply{503, call_fate::not_run, "no_rules", soon};
+        return own_response{503, call_fate::not_run, "no_rules", refusal_retry_after};
     }
     admitted.matched = admitted.rules->find_route(call.host, call.path());
     if (admitted.matched == nullptr)
     {
-        return fresh ? own_reply{404, call_fate::final_refusal, "no_route", std::nullopt}
-                     : own_reply{503, call_fate::not_run, "stale_rules", soon};
+        return fresh
+                   ? own_response{404, call_fate::final_refusal, "no_route", std::nullopt}
+                   : own_response{503, call_fate::not_run, "stale_rules",
+                                  refusal_retry_after};
     }
     if (auto const refusal = check_key(call, fresh, admitted))
     {
@@ -73,14 +76,15 @@
     }
     if (state.crashes.guilty(admitted.content, arrived))
     {
-        return own_reply{503, call_fate::not_run, "poison", poison_pause};
+        return own_response{503, call_fate::not_run, "poison", poison_retry_after};
     }
     auto const& matched = *admitted.matched;
-    bool const  ranked = admitted.owner != nullptr && admitted.owner->rank >= 0;
+    bool const  ranked =
+        admitted.caller_workspace != nullptr && admitted.caller_workspace->rank >= 0;
     admitted.deadline = deadline_of(call, matched);
     admitted.service_name = pick_target(matched, state.ticket())->service;
     admitted.target = admitted.rules->find_service(admitted.service_name);
-    admitted.rank = ranked ? admitted.owner->rank : matched.rank;
+    admitted.rank = ranked ? admitted.caller_workspace->rank : matched.rank;
     admitted.repeatable = matched.kind == call_kind::idempotent ||
                           (matched.kind == call_kind::stream && matched.resumable);
     state.budget(admitted.service_name).admit();
--- a/src/serving/call_notes.hpp
+++ b/src/serving/call_notes.hpp
@@ -1,6 +1,6 @@
-// Log lines and counters of one call.
+// Writes the log lines and counters of one call.
 //
-// Index: 1 call_end, 2 send_failure, 3 send_step, 4 call_notes
+// Index: 1 call_summary, 2 attempt_failure, 3 attempt_plan, 4 call_log
 #ifndef MARIGOLDCRANK_SERVING_CALL_NOTES_HPP
 #define MARIGOLDCRANK_SERVING_CALL_NOTES_HPP
 
@@ -16,51 +16,53 @@
 namespace marigoldcrank
 {
 
-/// How a call ended.
-struct call_end
+/// How a call ended, for its last log line.
+struct call_summary
 {
-    std::string_view outcome; // one word
+    std::string_view outcome; // "served", or the reason in one word
     unsigned         status = 0;
     std::int64_t     runs = 0;
-    std::string_view fault;  // the last one before the end
-    std::string_view server; // the last one that was to run it
-    stream_pace      pace;
+    std::string_view fault;  // why the last failed attempt failed
+    std::string_view server; // the last server that the call was sent to, to be run
+    stream_timing    timing;
 };
 
-/// What is known of a failed send.
-struct send_failure
+/// What is known about a failed attempt.
+struct attempt_failure
 {
-    std::string_view event; // the line's own name
+    std::string_view event; // name of the log line
     std::string_view server;
     exchange_fate    fate = exchange_fate::unknown;
     std::string_view fault;
     unsigned         status = 0;
 };
 
-/// What one send to a server is for, and what was expected of it.
-struct send_step
+/// What an attempt is for, and the work that was expected from it.
+struct attempt_plan
 {
     std::string_view server;
-    std::string_view work;    // "call", "prompt" or "run": with a prompt read elsewhere
-    std::int64_t     run = 0; // number of the run of this call
-    placement        planned; // tokens to be read there, and the time that takes
+    std::string_view work;    // "call"; "prompt": prefill only; "run": decode only
+    std::int64_t     run = 0; // attempts to run this call before this one
+    placement        planned; // tokens to prefill there, and the expected times
 };
 
-class call_notes
+/// Lives as long as its call.
+class call_log
 {
 public:
-    call_notes(entry_state& state, std::string const& id, boot_clock::time_point arrived);
+    call_log(entry_state& state, std::string const& id, boot_clock::time_point arrived);
 
-    /// A step, written for sampled calls.
-    void sent(send_step const& step, admitted_call const& admitted);
+    /// Logs the start of an attempt, for sampled calls only.
+    void attempt_started(attempt_plan const& plan, admitted_call const& admitted);
 
-    void failed(send_failure const& failure);
+    /// Logs and counts a failed attempt.
+    void attempt_failed(attempt_failure const& failure);
 
-    /// A call of this content may have crashed its server.
-    void suspected(std::string const& content, std::string const& server);
+    /// Logs that a call with this content may have crashed its server.
+    void crash_suspected(std::string const& content, std::string const& server);
 
-    /// The call's one final line.
-    void ended(call_end const& end, admitted_call const& admitted);
+    /// Logs and counts the end of the call. Served calls are logged only if sampled.
+    void call_ended(call_summary const& summary, admitted_call const& admitted);
 
 private:
     entry_state&           state_;
--- a/src/serving/caller_link.hpp
+++ b/src/serving/caller_link.hpp
@@ -1,6 +1,6 @@
-// One caller's connection: what the serving of a call may do with it.
+// A caller's connection: writes responses and detects that the caller has disconnected.
 //
-// Index: caller_link
+// Index: caller_connection
 #ifndef MARIGOLDCRANK_SERVING_CALLER_LINK_HPP
 #define MARIGOLDCRANK_SERVING_CALLER_LINK_HPP
 
@@ -17,45 +17,48 @@
 namespace marigoldcrank
 {
 
-/// Writes answers, and notices a caller that leaves while its call is in work.
-class caller_link : public std::enable_shared_from_this<caller_link>
+/// The connection is shared by its session and the call in progress.
+class caller_connection : public std::enable_shared_from_this<caller_connection>
 {
 public:
-    explicit caller_link(boost::asio::ip::tcp::socket socket);
+    explicit caller_connection(boost::asio::ip::tcp::socket socket);
 
-    /// Writes all bytes; false if the caller is gone or takes nothing until then.
+    /// Writes all bytes. Returns false if the caller has disconnected or hasn't taken
+    /// them by `until`.
     boost::asio::awaitable<bool> write(std::string_view bytes, loop_time until);
 
-    /// Calls `on_leave` once if the caller closes its side, until `unwatch`.
-    void watch(std::function<void()> on_leave);
-    void unwatch();
-    bool left() const noexcept;
+    /// Calls `on_disconnect` once if the caller closes its side before `stop_watching` is
+    /// called.
+    void watch_disconnect(std::function<void()> on_disconnect);
+    void stop_watching();
+    /// Whether a disconnect has been detected so far.
+    bool disconnected() const noexcept;
 
-    /// Looks at once. Load answered: a VM so busy that it reads calls, and notices that
-    /// their callers have gone, a second late must not send them on.
-    bool has_left();
+    /// Checks the socket now. An overloaded VM may read a call a second late; it must not
+    /// forward the call if its caller has disconnected by then.
+    bool check_disconnected();
 
-    /// Ends the connection so that what was sent can't look whole.
+    /// Resets the connection, so that the caller can't take the response for complete.
     void abort();
 
-    /// Ends it in order: what is unread is read off first, since closing over unread
-    /// bytes resets the connection and can take the answer with it.
-    boost::asio::awaitable<void> finish();
+    /// Closes the connection gracefully: sends FIN, then reads until the caller closes.
+    /// Closing with unread bytes would reset the connection and could lose the response.
+    boost::asio::awaitable<void> close_gracefully();
 
     boost::beast::tcp_stream&  stream() noexcept;
     boost::beast::flat_buffer& buffer() noexcept;
 
 private:
-    void look_later();
-    void look();
-    void leave();
+    void schedule_check();
+    void check();
+    void handle_disconnect();
 
     boost::beast::tcp_stream  stream_;
     boost::beast::flat_buffer buffer_;
-    boost::asio::steady_timer again_;
-    std::function<void()>     on_leave_;
-    std::uint64_t             watch_ = 0; // counts watches; a late wake-up knows its own
-    bool                      left_ = false;
+    boost::asio::steady_timer check_timer_;
+    std::function<void()>     on_disconnect_;
+    std::uint64_t             watch_number_ = 0; // timers of earlier ones are ignored
+    bool                      disconnected_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/event_splitter.cpp
+++ b/src/serving/event_splitter.cpp
@@ -1,4 +1,4 @@
-// Ends of events: a blank line, with either line ending.
+// Finds the ends of events: blank lines, with LF or CRLF line endings.
 #include "serving/event_splitter.hpp"
 
 namespace marigoldcrank
@@ -9,8 +9,8 @@
 
 constexpr std::string_view id_field = "id:";
 
-/// Where the last whole event ends; 0 if none is whole.
-std::size_t whole_length(std::string_view text)
+/// Offset of the end of the last complete event; 0 if there is none.
+std::size_t complete_length(std::string_view text)
 {
     std::size_t end = 0;
     auto const  feeds = text.rfind("\n\n");
@@ -48,11 +48,11 @@
 
 } // namespace
 
-whole_events event_splitter::feed(std::string_view bytes)
+complete_events event_splitter::feed(std::string_view bytes)
 {
     rest_ += bytes;
-    auto const   length = whole_length(rest_);
-    whole_events result{rest_.substr(0, length), {}};
+    auto const      length = complete_length(rest_);
+    complete_events result{rest_.substr(0, length), {}};
     result.last_id = last_id_of(result.bytes);
     rest_.erase(0, length);
     return result;
--- a/src/serving/handle_release.cpp
+++ b/src/serving/handle_release.cpp
@@ -1,4 +1,4 @@
-// One request in the background.
+// Sends the release request in a detached coroutine.
 #include "serving/handle_release.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -12,12 +12,12 @@
 namespace
 {
 
-constexpr millis patience{1000}; // 1000  ms; after that the handle is left to lapse
+constexpr millis release_timeout{1000}; // 1000  ms; then the handle expires by itself
 
 asio::awaitable<void> send_release(std::shared_ptr<http_connection> link,
                                    socket_address engine, http_request request)
 {
-    auto const until = loop_clock::now() + patience;
+    auto const until = loop_clock::now() + release_timeout;
     auto const opened = co_await link->connect(engine, until);
     if (opened == link_step::ok)
     {
--- a/src/serving/http_connection.cpp
+++ b/src/serving/http_connection.cpp
@@ -1,4 +1,4 @@
-// Steps of an exchange over Asio and Beast.
+// The operations of a connection, over Asio and Beast.
 //
 // Index: 1 options, 2 connect and send, 3 reading, 4 state
 #include "serving/http_connection.hpp"
@@ -29,7 +29,7 @@
 
 constexpr std::size_t background_bytes = 4096; // longer bodies are sent in the background
 
-link_step step_of(error_code const& error)
+link_step io_result_of(error_code const& error)
 {
     if (!error)
     {
@@ -41,7 +41,7 @@
 template <class Value>
 void set_option(int socket, int level, int name, Value value)
 {
-    // A kernel that lacks an option still serves; time-outs of each step remain.
+    // Failures are ignored: without an option, the timeouts of each operation still hold.
     static_cast<void>(::setsockopt(socket, level, name, &value, sizeof value));
 }
 
@@ -49,15 +49,15 @@
 
 // 1. Options
 
-void set_link_options(tcp::socket& socket, connection_options const& options)
+void set_tcp_options(tcp::socket& socket, tcp_options const& options)
 {
     auto const handle = socket.native_handle();
     set_option(handle, IPPROTO_TCP, TCP_NODELAY, 1);
     set_option(handle, SOL_SOCKET, SO_KEEPALIVE, 1);
-    set_option(handle, IPPROTO_TCP, TCP_KEEPIDLE, options.probe_idle_s);
-    set_option(handle, IPPROTO_TCP, TCP_KEEPINTVL, options.probe_every_s);
-    set_option(handle, IPPROTO_TCP, TCP_KEEPCNT, options.probe_count);
-    set_option(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, options.unacknowledged_ms);
+    set_option(handle, IPPROTO_TCP, TCP_KEEPIDLE, options.keepalive_idle_s);
+    set_option(handle, IPPROTO_TCP, TCP_KEEPINTVL, options.keepalive_interval_s);
+    set_option(handle, IPPROTO_TCP, TCP_KEEPCNT, options.keepalive_probes);
+    set_option(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, options.user_timeout_ms);
 }
 
 http_connection::http_connection(asio::any_io_executor executor) : stream_(executor) {}
@@ -79,21 +79,21 @@
                                    asio::redirect_error(asio::use_awaitable, error));
     if (!error)
     {
-        set_link_options(stream_.socket(), connection_options{});
+        set_tcp_options(stream_.socket(), tcp_options{});
     }
-    co_return step_of(error);
+    co_return io_result_of(error);
 }
 
 asio::awaitable<link_step> http_connection::send(http_request request, loop_time until)
 {
     stream_.expires_at(until);
-    whole_ = false;
+    complete_ = false;
     if (request.body().size() <= background_bytes)
     {
         error_code error;
         co_await http::async_write(stream_, request,
                                    asio::redirect_error(asio::use_awaitable, error));
-        co_return step_of(error);
+        co_return io_result_of(error);
     }
     writing_ = true;
     auto write = [](std::shared_ptr<http_connection> self,
@@ -115,7 +115,7 @@
 asio::awaitable<link_step> http_connection::read_head(bool head_only, loop_time until)
 {
     constexpr unsigned informational = 200;
-    whole_ = false;
+    complete_ = false;
     do
     {
         parser_.emplace();
@@ -132,10 +132,10 @@
                 http::make_error_code(http::error::end_of_stream).category();
             bool const ended = error == http::error::end_of_stream ||
                                error == http::error::partial_message;
-            co_return ours && !ended ? link_step::malformed : step_of(error);
+            co_return ours && !ended ? link_step::malformed : io_result_of(error);
         }
     } while (parser_->get().result_int() < informational);
-    whole_ = parser_->is_done();
+    complete_ = parser_->is_done();
     co_return link_step::ok;
 }
 
@@ -148,34 +148,34 @@
 {
     if (parser_->is_done())
     {
-        whole_ = true;
+        complete_ = true;
         co_return body_step::whole;
     }
-    std::array<char, body_piece> piece;
-    auto&                        body = parser_->get().body();
-    body.data = piece.data();
-    body.size = piece.size();
+    std::array<char, body_chunk_size> chunk;
+    auto&                             body = parser_->get().body();
+    body.data = chunk.data();
+    body.size = chunk.size();
     body.more = true;
     stream_.expires_at(until);
     error_code error;
     co_await http::async_read_some(stream_, buffer_, *parser_,
                                    asio::redirect_error(asio::use_awaitable, error));
-    out.append(piece.data(), piece.size() - body.size);
+    out.append(chunk.data(), chunk.size() - body.size);
     body.data = nullptr;
     if (error && error != http::error::need_buffer)
     {
         co_return error == beast::error::timeout ? body_step::timed_out
                                                  : body_step::broken;
     }
-    whole_ = parser_->is_done();
-    co_return whole_ ? body_step::whole : body_step::more;
+    complete_ = parser_->is_done();
+    co_return complete_ ? body_step::whole : body_step::more;
 }
 
 // 4. State
 
 bool http_connection::reusable() const
 {
-    return whole_ && !writing_ && !write_failed_ && buffer_.size() == 0 && parser_ &&
+    return complete_ && !writing_ && !write_failed_ && buffer_.size() == 0 && parser_ &&
            parser_->get().keep_alive() && !parser_->get().need_eof() &&
            stream_.socket().is_open();
 }
@@ -194,7 +194,7 @@
 
 void http_connection::close()
 {
-    error_code ignored; // closing what is closed already changes nothing
+    error_code ignored; // it may be closed already
     stream_.socket().close(ignored);
 }
 
--- a/src/serving/http_rules.cpp
+++ b/src/serving/http_rules.cpp
@@ -1,4 +1,4 @@
-// Checks and copies of heads.
+// Checks of request heads and their fields.
 #include "serving/http_rules.hpp"
 
 #include <boost/beast/core/string.hpp>
@@ -73,7 +73,7 @@
     return "none";
 }
 
-bool hop_field(std::string_view name)
+bool is_hop_by_hop(std::string_view name)
 {
     static constexpr std::array<std::string_view, 10> names{
         "Connection", "Keep-Alive", "Proxy-Connection",  "Proxy-Authenticate", "TE",
--- a/src/serving/listener.cpp
+++ b/src/serving/listener.cpp
@@ -1,4 +1,4 @@
-// The accept loop.
+// Listens, and accepts connections in a loop.
 #include "serving/listener.hpp"
 
 #include "serving/loop_sleep.hpp"
@@ -15,12 +15,10 @@
 namespace
 {
 
-// 1024  connections; a full queue drops the opening packet, which is sent again only
-// after a
-//       second
+// 1024  connections; a full queue drops SYN packets, which are sent again after 1 s
 constexpr int backlog = 1024;
-// 100   ms; without descriptors the next try of accepting waits for one to be closed
-constexpr millis no_descriptor_pause{100};
+// 100   ms; pause after a failed accept, as when no file descriptors are free
+constexpr millis accept_retry_pause{100};
 
 asio::awaitable<void> accept_all(tcp::acceptor                    acceptor,
                                  std::function<void(tcp::socket)> handler)
@@ -32,7 +30,7 @@
                                  asio::redirect_error(asio::use_awaitable, error));
         if (error)
         {
-            co_await loop_sleep(no_descriptor_pause);
+            co_await loop_sleep(accept_retry_pause);
             continue;
         }
         handler(std::move(socket));
--- a/src/serving/model_placing.cpp
+++ b/src/serving/model_placing.cpp
@@ -1,4 +1,4 @@
-// Places and times of model calls.
+// Choice of engines, deadlines and measured times of model calls.
 #include "serving/model_placing.hpp"
 
 #include "policy/wait_judgement.hpp"
@@ -12,55 +12,55 @@
 namespace
 {
 
-// 3  times the expected time, and 600 ms, for a prompt to be read: later its answer is
-// lost,
-//    or the engine so slow that reading it elsewhere is sooner
-constexpr int reading_factor = 3;
-// 4     engines of a role that a call chooses from where what is known of them is old
+// 3     times the expected time of a prefill, and 600 ms more, are allowed for it. Later
+//       its response is lost, or the engine so slow that a prefill elsewhere ends sooner
+constexpr int prefill_time_factor = 3;
+// 4     engines of a role that a call chooses from when load digests come through relays
 constexpr std::int64_t choices = 4;
-constexpr millis       least_reading{600};
-// 4     objectives; a later first event is given up on where another engine may try
-constexpr int patient_objectives = 4;
+constexpr millis       min_prefill_time{600};
+// 4     times the route's objective is the least deadline of the first event
+constexpr int first_event_objectives = 4;
 
 } // namespace
 
-model_placing::model_placing(entry_state& state, caller_call const& call,
-                             admitted_call const& admitted)
+model_placement::model_placement(entry_state& state, caller_call const& call,
+                                 admitted_call const& admitted)
     : state_(state), call_(call), admitted_(admitted)
 {
 }
 
-work_meter& model_placing::meter() const
+work_meter& model_placement::meter() const
 {
     return state_.meters[admitted_.service_name];
 }
 
-bool model_placing::reads_prompt() const
+bool model_placement::needs_prefill() const
 {
     return admitted_.target != nullptr && admitted_.target->has_engines &&
            !call_.prompt.empty();
 }
 
-void model_placing::count_demand(boot_clock::time_point arrived)
+void model_placement::count_demand(boot_clock::time_point arrived)
 {
-    // Short prompts are read where they are decoded.
-    if (reads_prompt() && call_.own_tokens() >= placement_options{}.handover_least)
+    // Short prompts are always prefilled colocated.
+    if (needs_prefill() && call_.own_tokens() >= placement_options{}.handover_least)
     {
         meter().prompt(call_.own_tokens(), arrived);
     }
 }
 
-std::optional<placement> model_placing::first(std::vector<candidate> const& candidates,
-                                              bool                          apart)
+std::optional<placement>
+model_placement::choose_first(std::vector<candidate> const& candidates,
+                              bool                          allow_handoff)
 {
     auto const& centre = state_.settings.data_centre;
-    if (reads_prompt() && apart)
+    if (needs_prefill() && allow_handoff)
     {
-        return place_model(with_kept(candidates), call_, costs(), centre, state_.ticket(),
-                           state_.placing());
+        return place_model(with_cached_tokens(candidates), call_, costs(), centre,
+                           state_.ticket(), state_.placing());
     }
-    auto const* server = reads_prompt()
-                             ? takeover(candidates)
+    auto const* server = needs_prefill()
+                             ? choose_decode_engine(candidates)
                              : place_plain(candidates, centre, state_.ticket());
     if (server == nullptr)
     {
@@ -69,15 +69,16 @@
     return placement{.server = server, .unread = call_.prompt_tokens()};
 }
 
-backend_server const* model_placing::takeover(std::vector<candidate> const& candidates)
+backend_server const*
+model_placement::choose_decode_engine(std::vector<candidate> const& candidates)
 {
     return place_decode(candidates, costs(), state_.settings.data_centre, state_.ticket(),
                         state_.placing());
 }
 
-std::optional<millis> model_placing::too_late(placement const& placed) const
+std::optional<millis> model_placement::queue_retry_after(placement const& placed) const
 {
-    if (!reads_prompt() || !state_.settings.refuse)
+    if (!needs_prefill() || !state_.settings.refuse)
     {
         return std::nullopt;
     }
@@ -89,7 +90,7 @@
                                wait_options{});
 }
 
-loop_time model_placing::reading_end(placement const& placed) const
+loop_time model_placement::prefill_deadline(placement const& placed) const
 {
     auto const now = loop_clock::now();
     if (meter().prefill_speed() <= 0)
@@ -98,33 +99,34 @@
     }
     auto const expected =
         millis{std::llround(std::ceil(placed.wait_ms + placed.read_ms))};
-    return std::min(admitted_.deadline, now + expected * reading_factor + least_reading);
+    return std::min(admitted_.deadline,
+                    now + expected * prefill_time_factor + min_prefill_time);
 }
 
-loop_time model_placing::first_event_end(placement const& placed) const
+loop_time model_placement::first_event_deadline(placement const& placed) const
 {
-    auto const patience = admitted_.matched->objective * patient_objectives;
-    auto const end = std::max(reading_end(placed), loop_clock::now() + patience);
+    auto const min_wait = admitted_.matched->objective * first_event_objectives;
+    auto const end = std::max(prefill_deadline(placed), loop_clock::now() + min_wait);
     return std::min(admitted_.deadline, end);
 }
 
-engine_costs model_placing::costs() const
+engine_costs model_placement::costs() const
 {
-    auto const& reads = meter().reads();
+    auto const& prefills = meter().reads();
     auto const& beside = meter().beside();
     auto const& pauses = state_.pauses[admitted_.service_name];
-    return {.read_speed = reads.speed(),
+    return {.read_speed = prefills.speed(),
             .beside_speed = beside.speed(),
             .beside_fixed_ms = beside.fixed_ms(),
-            .read_fixed_ms = reads.fixed_ms(),
-            .handover_ms = reads.handover_ms(),
+            .read_fixed_ms = prefills.fixed_ms(),
+            .handover_ms = prefills.handover_ms(),
             .beside_streams = pauses.beside_streams(state_.settings.beside),
-            .observed = reads.observed(),
+            .observed = prefills.observed(),
             .unheard_ms = state_.settings.spread ? unheard_ms() : 0,
             .choices = state_.settings.spread && state_.relays_used() ? choices : 0};
 }
 
-double model_placing::unheard_ms() const
+double model_placement::unheard_ms() const
 {
     auto const now = boot_clock::now();
     auto const engines = static_cast<double>(state_.servers_of(admitted_.service_name));
@@ -133,7 +135,8 @@
     return engines > 0 ? busy / engines * static_cast<double>(age) : 0;
 }
 
-std::vector<candidate> model_placing::with_kept(std::vector<candidate> candidates) const
+std::vector<candidate>
+model_placement::with_cached_tokens(std::vector<candidate> candidates) const
 {
     if (!state_.settings.directory)
     {
@@ -152,16 +155,16 @@
     return candidates;
 }
 
-void model_placing::sent(std::string const& server, placement const& planned)
+void model_placement::record_attempt(std::string const& server, placement const& planned)
 {
-    if (reads_prompt())
+    if (needs_prefill())
     {
-        auto const reading = millis{std::llround(planned.wait_ms + planned.read_ms)};
-        state_.prefixes.sent(server, call_.prompt, reading, boot_clock::now());
+        auto const prefill_time = millis{std::llround(planned.wait_ms + planned.read_ms)};
+        state_.prefixes.sent(server, call_.prompt, prefill_time, boot_clock::now());
     }
 }
 
-void model_placing::prompt_read(placement const& planned, boot_clock::duration took)
+void model_placement::record_prefill(placement const& planned, boot_clock::duration took)
 {
     if (state_.settings.learn)
     {
@@ -170,7 +173,8 @@
     }
 }
 
-void model_placing::read_beside(placement const& planned, boot_clock::duration took)
+void model_placement::record_colocated_prefill(placement const&     planned,
+                                               boot_clock::duration took)
 {
     if (state_.settings.learn)
     {
@@ -179,17 +183,17 @@
     }
 }
 
-void model_placing::handed_over(boot_clock::duration took)
+void model_placement::record_handoff(boot_clock::duration took)
 {
     meter().handed_over(took);
 }
 
-void model_placing::stream_ended(std::int64_t pieces, boot_clock::duration took,
-                                 boot_clock::duration longest_pause)
+void model_placement::record_stream(std::int64_t chunk_count, boot_clock::duration took,
+                                    boot_clock::duration longest_pause)
 {
-    state_.pauses[admitted_.service_name].ended(pieces, longest_pause,
+    state_.pauses[admitted_.service_name].ended(chunk_count, longest_pause,
                                                 admitted_.matched->event_gap);
-    meter().stream(pieces, took, boot_clock::now());
+    meter().stream(chunk_count, took, boot_clock::now());
 }
 
 } // namespace marigoldcrank
--- a/src/serving/model_placing.hpp
+++ b/src/serving/model_placing.hpp
@@ -1,6 +1,6 @@
-// Placing of one model call: the decisions of src/policy over what this VM believes now.
+// Chooses engines for one model call: applies src/policy to the current state of this VM.
 //
-// Index: model_placing
+// Index: model_placement
 #ifndef MARIGOLDCRANK_SERVING_MODEL_PLACING_HPP
 #define MARIGOLDCRANK_SERVING_MODEL_PLACING_HPP
 
@@ -12,62 +12,64 @@
 namespace marigoldcrank
 {
 
-/// Lives as long as its call. Does no I/O.
-class model_placing
+/// Chooses the engines for prefill and decode, sets deadlines for them, and records
+/// measured times for later choices. Calls without a prompt, and services without
+/// engines, are placed as plain calls. Lives as long as its call. Does no I/O.
+class model_placement
 {
 public:
-    model_placing(entry_state& state, caller_call const& call,
-                  admitted_call const& admitted);
+    model_placement(entry_state& state, caller_call const& call,
+                    admitted_call const& admitted);
 
-    /// Whether engines read a prompt for this call, which decides on its place.
-    bool reads_prompt() const;
+    /// Whether the call is placed by the prefill of its prompt.
+    bool needs_prefill() const;
 
-    /// Counts the prompt into the demand by which roles are split.
+    /// Adds the prompt to the demand by which engines are split into roles.
     void count_demand(boot_clock::time_point arrived);
 
-    /// Where the call goes first; nothing if no server can take it. `apart`: its prompt
-    /// may be read by an engine that doesn't run it.
-    std::optional<placement> first(std::vector<candidate> const& candidates, bool apart);
+    /// Chooses the server for the next attempt; nothing if no server can take the call.
+    /// `allow_handoff` allows prefill and decode on different engines.
+    std::optional<placement> choose_first(std::vector<candidate> const& candidates,
+                                          bool                          allow_handoff);
 
-    /// The engine that runs a call whose prompt was read elsewhere; null if there is
-    /// none.
-    backend_server const* takeover(std::vector<candidate> const& candidates);
+    /// Chooses the engine that decodes after a handoff; null if there is none.
+    backend_server const* choose_decode_engine(std::vector<candidate> const& candidates);
 
-    /// When to come back, if the call would wait too long at its first place.
-    std::optional<millis> too_late(placement const& placed) const;
+    /// The Retry-After if the call would wait too long at `placed`; else nothing.
+    std::optional<millis> queue_retry_after(placement const& placed) const;
 
-    /// When its prompt should have been read. Failure guarded against: the answer to a
-    /// read is lost without a reset; the call would wait for it until its caller gives
-    /// up, though a read may be repeated.
-    loop_time reading_end(placement const& placed) const;
+    /// Deadline of the prefill. Without it, a call whose prefill response is lost without
+    /// a reset would wait until its caller gives up, though a prefill may be repeated.
+    loop_time prefill_deadline(placement const& placed) const;
 
-    /// Until when the first event may come. Guards against an engine that has gone dark
-    /// with a call: nothing ends the connection, and the caller waits to its deadline.
-    loop_time first_event_end(placement const& placed) const;
+    /// Deadline of the first event. Without it, a call at an engine that stopped
+    /// responding without closing the connection would wait until its own deadline.
+    loop_time first_event_deadline(placement const& placed) const;
 
-    /// The call goes to `server`, which keeps its prompt from then on.
-    void sent(std::string const& server, placement const& planned);
+    /// Records that the call is sent to `server`, which will have its prompt cached.
+    void record_attempt(std::string const& server, placement const& planned);
 
-    /// An engine has read the prompt.
-    void prompt_read(placement const& planned, boot_clock::duration took);
+    /// Records the time of a prefill on a separate engine.
+    void record_prefill(placement const& planned, boot_clock::duration took);
 
-    /// The engine that runs the call has read its prompt itself and begun to answer.
-    void read_beside(placement const& planned, boot_clock::duration took);
+    /// Records the time to the first event of a colocated prefill.
+    void record_colocated_prefill(placement const& planned, boot_clock::duration took);
 
-    /// The engine that runs the call has taken over its prompt and begun to answer.
-    void handed_over(boot_clock::duration took);
+    /// Records the time to the first event of a handoff.
+    void record_handoff(boot_clock::duration took);
 
-    /// A stream has ended whole.
-    void stream_ended(std::int64_t pieces, boot_clock::duration took,
-                      boot_clock::duration longest_pause);
+    /// Records a complete stream: its number of chunks, their time and the longest pause.
+    void record_stream(std::int64_t chunk_count, boot_clock::duration took,
+                       boot_clock::duration longest_pause);
 
 private:
     work_meter&  meter() const;
     engine_costs costs() const;
-    double       unheard_ms() const;
+    /// Prefill work per engine that isn't in the digests yet, in ms, from demand and age.
+    double unheard_ms() const;
 
-    /// The candidates with what they keep of this call's prompt.
-    std::vector<candidate> with_kept(std::vector<candidate> candidates) const;
+    /// The candidates with the tokens of this prompt that they have cached.
+    std::vector<candidate> with_cached_tokens(std::vector<candidate> candidates) const;
 
     entry_state&         state_;
     caller_call const&   call_;
--- a/src/serving/own_reply.cpp
+++ b/src/serving/own_reply.cpp
@@ -1,4 +1,4 @@
-// Bytes of answers.
+// Formatting of responses to callers.
 #include "serving/own_reply.hpp"
 
 #include "serving/http_rules.hpp"
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// End-to-end fields of a server's answer, without framing.
+/// Status and end-to-end fields of a server's response, without its framing.
 answer_head relayed_head(answer_head const& from, bool close)
 {
     answer_head head;
@@ -51,7 +51,7 @@
 
 } // namespace
 
-std::string format_reply(own_reply const& reply, bool close)
+std::string format_own_response(own_response const& reply, bool close)
 {
     auto const body = nlohmann::json{{"error",
                                       {{"cause", std::string{reply.cause}},
@@ -75,8 +75,8 @@
     return out + body;
 }
 
-std::string format_answer(answer_head const& head, std::string const& body, bool close,
-                          bool head_only)
+std::string format_response(answer_head const& head, std::string const& body, bool close,
+                            bool head_only)
 {
     auto result = relayed_head(head, close);
     if (head_only)
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -1,6 +1,6 @@
-// Asking the VM that keeps a quota, and answering as that VM.
+// Queries to the owners of quotas, and replies as an owner.
 //
-// Index: 1 cost, 2 links, 3 asking, 4 answering, 5 refusing
+// Index: 1 cost, 2 links, 3 queries, 4 replies, 5 refusals
 #include "serving/quota_gate.hpp"
 
 #include "serving/loop_sleep.hpp"
@@ -36,29 +36,29 @@
 namespace
 {
 
-// 256   questions waiting for one VM
-constexpr int queue_limit = 256;
-// 150   ms; a VM that doesn't answer in this time is silent. Half of the time in which
-//       the quickest calls are to be answered
-constexpr millis patience{150};
-// 1000  ms; a silent VM is asked last for so long, unless another one knows it to live
-constexpr millis silent_pause{1000};
-// 300   ms; a caller whom nobody could answer comes back when a stand-in may have taken
-//       over
-constexpr millis back_later{300};
-// 50    ms; between looks at whether the other VMs are known
-constexpr millis           settle_look{50};
-constexpr std::string_view question_kind = "quota";
-
-struct open_question
+// 256   queries queued for one VM
+constexpr int max_queued_queries = 256;
+// 150   ms; a VM that doesn't reply in this time is skipped. Half of the time in which
+//       the fastest calls must be served
+constexpr millis reply_timeout{150};
+// 1000  ms; a VM that has not replied is asked last for this time, unless another VM
+//       knows it to be alive
+constexpr millis silence_backoff{1000};
+// 300   ms; Retry-After while no owner replies; another VM may have taken over by then
+constexpr millis isolated_retry_after{300};
+// 50    ms; interval of checks whether the other VMs are known
+constexpr millis           fleet_check_interval{50};
+constexpr std::string_view query_kind = "quota";
+
+struct open_query
 {
-    explicit open_question(asio::io_context& loop) : timer(loop) {}
+    explicit open_query(asio::io_context& loop) : timer(loop) {}
 
     asio::steady_timer               timer;
     std::optional<wire::quota_reply> reply;
 };
 
-quota_answer answer_of(wire::quota_reply const& reply)
+quota_answer answer_from(wire::quota_reply const& reply)
 {
     auto const last = static_cast<std::uint32_t>(quota_outcome::declined);
     return {.outcome = static_cast<quota_outcome>(std::min(reply.outcome(), last)),
@@ -69,7 +69,7 @@
 
 } // namespace
 
-/// Questions to other VMs.
+/// Sockets to other VMs, and the queries that wait for a reply.
 struct quota_gate::links
 {
     links(asio::io_context& io, zmq::context_t& zmq) : loop(io), context(zmq) {}
@@ -80,19 +80,19 @@
         if (!socket)
         {
             socket = std::make_unique<watched_socket>(
-                loop, context, zmq::socket_type::dealer, queue_limit,
+                loop, context, zmq::socket_type::dealer, max_queued_queries,
                 [this](std::vector<zmq::message_t>& parts) { take(parts); });
             socket->socket().connect(zmq_endpoint(address));
         }
         return *socket;
     }
 
-    void send(std::string const& address, wire::quota_question const& question)
+    void send(std::string const& address, wire::quota_question const& query)
     {
-        auto const bytes = question.SerializeAsString();
+        auto const bytes = query.SerializeAsString();
         auto&      socket = socket_to(address);
         static_cast<void>(
-            socket.socket().send(zmq::buffer(question_kind),
+            socket.socket().send(zmq::buffer(query_kind),
                                  zmq::send_flags::dontwait | zmq::send_flags::sndmore));
         static_cast<void>(
             socket.socket().send(zmq::buffer(bytes), zmq::send_flags::dontwait));
@@ -105,45 +105,45 @@
         auto const&       bytes = parts.back();
         if (!reply.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         {
-            return; // the question runs into its time-out
+            return; // the query times out
         }
-        auto const found = open.find(reply.number());
-        if (found != open.end())
+        auto const found = open_queries.find(reply.number());
+        if (found != open_queries.end())
         {
             found->second->reply = std::move(reply);
             found->second->timer.cancel();
         }
     }
 
-    asio::io_context&                                       loop;
-    zmq::context_t&                                         context;
-    std::map<std::string, std::unique_ptr<watched_socket>>  sockets; // by address
-    std::map<std::uint64_t, std::shared_ptr<open_question>> open;
-    std::uint64_t                                           number = 0;
+    asio::io_context&                                      loop;
+    zmq::context_t&                                        context;
+    std::map<std::string, std::unique_ptr<watched_socket>> sockets; // by address
+    std::map<std::uint64_t, std::shared_ptr<open_query>>   open_queries;
+    std::uint64_t                                          number = 0;
 };
 
-// 3. Asking
+// 3. Queries
 
 quota_gate::quota_gate(asio::io_context& loop, zmq::context_t& context,
                        entry_state& state, record_link& records)
     : state_(state), links_(std::make_unique<links>(loop, context))
 {
-    records.answer_others([this](std::string const& question)
-                          { return answer_other(question); });
+    records.answer_others([this](std::string const& serialized)
+                          { return reply_to_vm(serialized); });
 }
 
 quota_gate::~quota_gate() = default;
 
-void quota_gate::follow(std::vector<std::string> const& homes)
+void quota_gate::follow(std::vector<std::string> const& owners)
 {
     home_.terms(terms());
-    homes_ = homes;
+    owners_ = owners;
     auto const gone = [&](auto const& each)
     {
-        return std::find(homes.begin(), homes.end(), each.first) == homes.end();
+        return std::find(owners.begin(), owners.end(), each.first) == owners.end();
     };
     std::erase_if(links_->sockets, gone);
-    std::erase_if(silent_, gone);
+    std::erase_if(backoff_until_, gone);
     forget_workspaces();
 }
 
@@ -165,13 +165,14 @@
         return rules->find_workspace_named(workspace) != nullptr;
     };
     home_.forget_unless(known);
-    std::erase_if(alone_, [&](auto const& each) { return !known(each.first); });
+    std::erase_if(isolated_buckets_,
+                  [&](auto const& each) { return !known(each.first); });
 }
 
 std::vector<std::string> quota_gate::homes_heard(boot_clock::time_point now) const
 {
     std::vector<std::string> result;
-    std::copy_if(homes_.begin(), homes_.end(), std::back_inserter(result),
+    std::copy_if(owners_.begin(), owners_.end(), std::back_inserter(result),
                  [&](std::string const& each) { return state_.heard_lately(each, now); });
     return result;
 }
@@ -179,91 +180,93 @@
 std::vector<std::string> quota_gate::order(std::string const& workspace) const
 {
     auto const now = boot_clock::now();
-    auto const silent = [&](std::string const& home)
+    auto const silent = [&](std::string const& vm)
     {
-        auto const found = silent_.find(home);
-        return found != silent_.end() && now < found->second;
+        auto const found = backoff_until_.find(vm);
+        return found != backoff_until_.end() && now < found->second;
     };
-    // Whoever isn't heard may still answer: digests come through relays.
-    auto const doubt = [&](std::string const& home)
+    // A VM whose digests are missing may still reply, since digests come through relays.
+    auto const unreachability = [&](std::string const& vm)
     {
-        return (silent(home) ? 2 : 0) + (state_.heard_lately(home, now) ? 0 : 1);
+        return (silent(vm) ? 2 : 0) + (state_.heard_lately(vm, now) ? 0 : 1);
     };
-    constexpr int lost = 3; // neither heard nor answering
-    auto          homes = order_homes(workspace, homes_);
-    std::erase_if(homes, [&](std::string const& each) { return doubt(each) == lost; });
-    std::stable_sort(homes.begin(), homes.end(),
+    constexpr int unreachable = 3; // no digests and no replies
+    auto          owners = order_homes(workspace, owners_);
+    std::erase_if(owners, [&](std::string const& each)
+                  { return unreachability(each) == unreachable; });
+    std::stable_sort(owners.begin(), owners.end(),
                      [&](std::string const& left, std::string const& right)
-                     { return doubt(left) < doubt(right); });
-    return homes;
+                     { return unreachability(left) < unreachability(right); });
+    return owners;
 }
 
-asio::awaitable<std::optional<quota_answer>> quota_gate::ask(std::string address,
-                                                             quota_ask   question)
+asio::awaitable<std::optional<quota_answer>> quota_gate::query(std::string address,
+                                                               quota_ask   request)
 {
     if (address == state_.contact.records)
     {
-        co_return answer_own(question);
+        co_return reply_as_owner(request);
     }
     auto const           number = ++links_->number;
-    auto const           asking = std::make_shared<open_question>(links_->loop);
+    auto const           pending = std::make_shared<open_query>(links_->loop);
     wire::quota_question message;
     message.set_number(number);
-    message.set_workspace(question.workspace);
-    message.set_units(question.units);
-    message.set_left(question.left);
-    links_->open[number] = asking;
-    asking->timer.expires_after(patience);
+    message.set_workspace(request.workspace);
+    message.set_units(request.units);
+    message.set_left(request.left);
+    links_->open_queries[number] = pending;
+    pending->timer.expires_after(reply_timeout);
     links_->send(address, message);
-    boost::system::error_code error; // cancelled by the answer, or over
-    co_await asking->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
-    links_->open.erase(number);
-    state_.counters.add(asking->reply ? "quota_answers_total" : "quota_silences_total");
-    if (!asking->reply)
+    boost::system::error_code error; // cancelled by the reply, or expired
+    co_await pending->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
+    links_->open_queries.erase(number);
+    state_.counters.add(pending->reply ? "quota_answers_total" : "quota_silences_total");
+    if (!pending->reply)
     {
-        silent_[address] = boot_clock::now() + silent_pause;
+        backoff_until_[address] = boot_clock::now() + silence_backoff;
         co_return std::nullopt;
     }
-    silent_.erase(address);
-    co_return answer_of(*asking->reply);
+    backoff_until_.erase(address);
+    co_return answer_from(*pending->reply);
 }
 
-/// Load answered: all VMs lose power and start at once, and their callers are there
-/// before they know each other. Each would let in its part of a fleet of unknown size,
-/// next to nothing, and refuse the rest.
-asio::awaitable<void> quota_gate::settle() const
+/// If all VMs restart at once, calls arrive before the VMs have discovered each other.
+/// Without the wait, each VM would admit only its share for a fleet of unknown size,
+/// almost nothing, and refuse the rest.
+asio::awaitable<void> quota_gate::wait_for_fleet() const
 {
     while (!state_.fleet.settled(boot_clock::now()))
     {
-        co_await loop_sleep(settle_look);
+        co_await loop_sleep(fleet_check_interval);
     }
 }
 
-asio::awaitable<std::optional<own_reply>>
-quota_gate::admit(caller_call const& call, workspace const& owner, quota_hold& hold)
+asio::awaitable<std::optional<own_response>>
+quota_gate::admit(caller_call const& call, workspace const& caller_workspace,
+                  quota_hold& hold)
 {
     auto const   began = boot_clock::now();
-    auto const   units = quota_cost(*owner.quota, call);
+    auto const   units = quota_cost(*caller_workspace.quota, call);
     quota_answer answer;
-    hold = {.workspace = owner.name};
-    co_await settle();
-    quota_course course{order(owner.name)};
+    hold = {.workspace = caller_workspace.name};
+    co_await wait_for_fleet();
+    quota_course course{order(caller_workspace.name)};
     while (!course.address().empty())
     {
-        hold.keeper = course.address();
-        quota_ask  question{owner.name, units, course.left()};
-        auto const heard = co_await ask(hold.keeper, std::move(question));
-        answer = heard.value_or(quota_answer{});
+        hold.granted_by = course.address();
+        quota_ask  request{caller_workspace.name, units, course.left()};
+        auto const reply = co_await query(hold.granted_by, std::move(request));
+        answer = reply.value_or(quota_answer{});
         bool const declined = answer.outcome == quota_outcome::declined;
-        course.take(!heard     ? quota_reply::silent
+        course.take(!reply     ? quota_reply::silent
                     : declined ? quota_reply::declined
                                : quota_reply::decided,
                     answer.home);
     }
     if (!course.decided())
     {
-        hold.keeper.clear();
-        answer = take_alone(owner.name, units, *owner.quota);
+        hold.granted_by.clear();
+        answer = decide_isolated(caller_workspace.name, units, *caller_workspace.quota);
     }
     state_.counters.observe("quota_seconds", boot_clock::now() - began);
     if (answer.outcome == quota_outcome::granted)
@@ -271,35 +274,35 @@
         hold.units = units;
         co_return std::nullopt;
     }
-    note_refusal(call, owner, hold, answer);
-    co_return own_reply{429, call_fate::not_run, "quota", answer.retry_after};
+    log_refusal(call, caller_workspace, hold, answer);
+    co_return own_response{429, call_fate::not_run, "quota", answer.retry_after};
 }
 
-quota_answer quota_gate::take_alone(std::string const& workspace, std::int64_t units,
-                                    workspace_quota const& quota)
+quota_answer quota_gate::decide_isolated(std::string const& workspace, std::int64_t units,
+                                         workspace_quota const& quota)
 {
     auto const now = boot_clock::now();
     auto const bounds = bounds_alone(quota, terms(), state_.fleet.alone());
-    auto const bucket = alone_.try_emplace(workspace, bounds, now).first;
+    auto const bucket = isolated_buckets_.try_emplace(workspace, bounds, now).first;
     bucket->second.limit(bounds, now);
     bool const over = bucket->second.take(units, now).has_value();
     return {.outcome = over ? quota_outcome::over_quota : quota_outcome::granted,
-            .retry_after = back_later,
+            .retry_after = isolated_retry_after,
             .left = static_cast<std::int64_t>(bucket->second.level())};
 }
 
 void quota_gate::give_back(quota_hold const& hold)
 {
     auto const now = boot_clock::now();
-    if (hold.keeper == state_.contact.records)
+    if (hold.granted_by == state_.contact.records)
     {
         home_.give_back(hold.workspace, hold.units, now);
         return;
     }
-    if (hold.keeper.empty())
+    if (hold.granted_by.empty())
     {
-        auto const bucket = alone_.find(hold.workspace);
-        if (bucket != alone_.end())
+        auto const bucket = isolated_buckets_.find(hold.workspace);
+        if (bucket != isolated_buckets_.end())
         {
             bucket->second.give_back(hold.units, now);
         }
@@ -308,39 +311,40 @@
     wire::quota_question message;
     message.set_workspace(hold.workspace);
     message.set_units(-hold.units);
-    links_->send(hold.keeper, message);
+    links_->send(hold.granted_by, message);
 }
 
-// 4. Answering
+// 4. Replies
 
-quota_answer quota_gate::answer_own(quota_ask const& ask)
+quota_answer quota_gate::reply_as_owner(quota_ask const& ask)
 {
     auto const  now = boot_clock::now();
     auto const& rules = state_.view.rules;
-    auto const* owner = rules ? rules->find_workspace_named(ask.workspace) : nullptr;
-    if (owner == nullptr)
+    auto const* caller_workspace =
+        rules ? rules->find_workspace_named(ask.workspace) : nullptr;
+    if (caller_workspace == nullptr)
     {
         return {};
     }
-    if (!owner->quota)
+    if (!caller_workspace->quota)
     {
         return {.outcome = quota_outcome::granted};
     }
     auto const& own = state_.contact.records;
     home_view   view{.stops = state_.draining, .share = state_.fleet.value()};
-    for (auto const& each : order_homes(ask.workspace, homes_))
+    for (auto const& each : order_homes(ask.workspace, owners_))
     {
         view.listed = view.listed || each == own;
         bool const before = !view.listed && view.ahead.empty() && each != ask.left;
         view.ahead = before && state_.heard_lately(each, now) ? each : view.ahead;
     }
-    return home_.answer(ask, *owner->quota, view, now);
+    return home_.answer(ask, *caller_workspace->quota, view, now);
 }
 
-std::string quota_gate::answer_other(std::string const& question)
+std::string quota_gate::reply_to_vm(std::string const& serialized)
 {
     wire::quota_question message;
-    if (!message.ParseFromString(question))
+    if (!message.ParseFromString(serialized))
     {
         state_.counters.add("quota_questions_unreadable_total");
         return "";
@@ -351,7 +355,7 @@
         return "";
     }
     auto const answer =
-        answer_own({message.workspace(), message.units(), message.left()});
+        reply_as_owner({message.workspace(), message.units(), message.left()});
     wire::quota_reply reply;
     reply.set_number(message.number());
     reply.set_outcome(static_cast<std::uint32_t>(answer.outcome));
@@ -361,20 +365,20 @@
     return reply.SerializeAsString();
 }
 
-// 5. Refusing
+// 5. Refusals
 
-void quota_gate::note_refusal(caller_call const& call, workspace const& owner,
-                              quota_hold const& hold, quota_answer const& answer)
+void quota_gate::log_refusal(caller_call const& call, workspace const& caller_workspace,
+                             quota_hold const& hold, quota_answer const& answer)
 {
     state_.log.write(
         event_line{"over_quota"}
             .add("id", call.id)
-            .add("workspace", owner.name)
-            .add("units", quota_cost(*owner.quota, call))
-            .add("rate", owner.quota->rate)
-            .add("burst", owner.quota->burst)
+            .add("workspace", caller_workspace.name)
+            .add("units", quota_cost(*caller_workspace.quota, call))
+            .add("rate", caller_workspace.quota->rate)
+            .add("burst", caller_workspace.quota->burst)
             .add("left", answer.left)
-            .add("keeper", hold.keeper.empty() ? "alone" : hold.keeper)
+            .add("keeper", hold.granted_by.empty() ? "alone" : hold.granted_by)
             .add("vms", state_.fleet.vms())
             .add("rules", state_.view.rules
                               ? static_cast<std::int64_t>(state_.view.rules->version())
--- a/src/serving/server_exchange.hpp
+++ b/src/serving/server_exchange.hpp
@@ -1,4 +1,4 @@
-// One send of a call to one backend server, up to the head of its answer.
+// One HTTP exchange with a backend server, on a new or reused connection.
 //
 // Index: 1 exchange_request, 2 server_exchange
 #ifndef MARIGOLDCRANK_SERVING_SERVER_EXCHANGE_HPP
@@ -16,18 +16,18 @@
 namespace marigoldcrank
 {
 
-/// One send.
+/// The request of one exchange.
 struct exchange_request
 {
     http_request message;
     std::string  call_id;
-    bool      careful = false; // can't be sent again: takes only a surely open connection
-    bool      for_us = false;  // the answer isn't the caller's, and bears no signature
-    loop_time until{};
+    bool         not_repeatable = false; // reuses only recently used connections
+    bool         internal = false; // the response isn't relayed and needs no signature
+    loop_time    until{};
 };
 
-/// Keeps the connection while the answer's body is read. Closing it stops the server's
-/// work.
+/// Holds the connection until the response has been read, then returns it to the pool or
+/// closes it. A server stops its work on a call when the connection is closed.
 template <wire_dialect Dialect>
 class server_exchange
 {
@@ -39,7 +39,7 @@
 
     ~server_exchange()
     {
-        settle();
+        release_connection();
     }
 
     server_exchange(server_exchange const&) = delete;
@@ -50,11 +50,11 @@
         return server_;
     }
 
-    /// Connects, sends, and reads heads until one belongs to this call.
+    /// Connects, sends the request, and reads heads until one belongs to this call.
     boost::asio::awaitable<exchange_fate> start(exchange_request request)
     {
         bool const head_only = request.message.method_string() == "HEAD";
-        for_us_ = request.for_us;
+        internal_ = request.internal;
         if (!co_await open(request))
         {
             co_return exchange_fate::not_sent;
@@ -66,7 +66,7 @@
             fault_ = "send";
             co_return exchange_fate::unknown;
         }
-        for (int answers = 0; answers < most_stray_answers; ++answers)
+        for (int responses = 0; responses < max_stray_responses; ++responses)
         {
             auto const read = co_await connection_->read_head(head_only, request.until);
             if (read != link_step::ok)
@@ -79,10 +79,10 @@
             facts_ = Dialect::read_answer(connection_->head());
             if (facts_.call_id.empty() || facts_.call_id == request.call_id)
             {
-                co_return judge();
+                co_return evaluate_head();
             }
-            // A late answer to an earlier call: read past it, and never use the
-            // connection again, since more of them may follow.
+            // This is a late response to an earlier call. It is skipped, and the
+            // connection is not reused, since more of them may follow.
             stray_ = true;
             state_.counters.add("stray_answers_total");
             if (!co_await skip_body(request.until))
@@ -105,7 +105,7 @@
         return connection_->head();
     }
 
-    /// Why there is no answer; for logs.
+    /// Why there is no valid response, for logs; empty if there is one.
     char const* fault() const noexcept
     {
         return fault_;
@@ -116,18 +116,19 @@
         return connection_->read_body(out, until);
     }
 
-    /// The rest of the body, whole or not at all.
-    boost::asio::awaitable<bool> read_whole(std::string& out, loop_time until)
+    /// Reads the rest of the body. Returns false if it is incomplete or too long.
+    boost::asio::awaitable<bool> read_complete_body(std::string& out, loop_time until)
     {
         auto step = body_step::more;
-        while (step == body_step::more && out.size() <= most_body)
+        while (step == body_step::more && out.size() <= max_body_size)
         {
             step = co_await connection_->read_body(out, until);
         }
         co_return step == body_step::whole;
     }
 
-    /// Ends any step in progress; the server drops the call when its connection closes.
+    /// Closes the connection, which aborts the operation in progress and makes the server
+    /// drop the call.
     void stop()
     {
         if (connection_)
@@ -137,15 +138,16 @@
     }
 
 private:
-    static constexpr int         most_stray_answers = 4;
-    static constexpr std::size_t most_body = 16U << 20U; // 16 MiB; of a plain answer
-    // 400  ms; far above any way within a region: a longer connect means a server that is
-    //      dark or whose queue of new connections is full, and another one is tried
-    static constexpr millis connect_time{400};
+    static constexpr int         max_stray_responses = 4;
+    static constexpr std::size_t max_body_size = 16U << 20U; // 16 MiB; plain responses
+    // 400  ms; far above any round trip within a region: the server is unreachable or its
+    //      accept queue is full, and another one is tried
+    static constexpr millis connect_timeout{400};
 
     boost::asio::awaitable<bool> open(exchange_request const& request)
     {
-        connection_ = state_.pool.take(server_.id, request.careful, loop_clock::now());
+        connection_ =
+            state_.pool.take(server_.id, request.not_repeatable, loop_clock::now());
         if (connection_)
         {
             co_return true;
@@ -153,7 +155,7 @@
         auto const executor = co_await boost::asio::this_coro::executor;
         connection_ = std::make_shared<http_connection>(executor);
         state_.counters.add("server_connections_total");
-        auto const until = std::min(request.until, loop_clock::now() + connect_time);
+        auto const until = std::min(request.until, loop_clock::now() + connect_timeout);
         socket_address const address{server_.host,
                                      static_cast<std::uint16_t>(server_.port)};
         auto const           step = co_await connection_->connect(address, until);
@@ -167,7 +169,7 @@
         co_return true;
     }
 
-    exchange_fate judge()
+    exchange_fate evaluate_head()
     {
         connection_->idle_limit = facts_.idle_limit;
         if (facts_.not_run)
@@ -179,8 +181,9 @@
         constexpr unsigned first_redirect = 300;
         bool const         success =
             facts_.status >= first_success && facts_.status < first_redirect;
-        // A success counts only as its server's own bytes and signed by it.
-        if ((success && !facts_.signed_whole && !for_us_) || facts_.encoded)
+        // A success is valid only if the server signed it and the body is the server's
+        // own bytes.
+        if ((success && !facts_.signed_whole && !internal_) || facts_.encoded)
         {
             fault_ = "unsigned";
             return exchange_fate::unknown;
@@ -191,11 +194,12 @@
     boost::asio::awaitable<bool> skip_body(loop_time until)
     {
         std::string ignored;
-        co_return co_await read_whole(ignored, until);
+        co_return co_await read_complete_body(ignored, until);
     }
 
-    /// The connection is kept only if nothing on it can be mistaken for another's answer.
-    void settle()
+    /// Returns the connection to the pool unless bytes on it could be taken for the
+    /// response to another call; else closes it.
+    void release_connection()
     {
         if (!connection_)
         {
@@ -218,7 +222,7 @@
     answer_facts                     facts_;
     char const*                      fault_ = "";
     bool                             stray_ = false;
-    bool                             for_us_ = false;
+    bool                             internal_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/stream_pace.hpp
+++ b/src/serving/stream_pace.hpp
@@ -1,6 +1,6 @@
-// How an answer came along: its first event and the longest pause after it.
+// Measures the timing of a stream: time to the first event, and longest pause after it.
 //
-// Index: stream_pace
+// Index: stream_timing
 #ifndef MARIGOLDCRANK_SERVING_STREAM_PACE_HPP
 #define MARIGOLDCRANK_SERVING_STREAM_PACE_HPP
 
@@ -12,15 +12,16 @@
 namespace marigoldcrank
 {
 
-/// Pure; time is passed in. Shows which answers were late, and on what: the wait for the
-/// first event (reading, queues) or a pause in between (a server that does other work).
-class stream_pace
+/// Tells which streams were late, and why: the wait for the first event (queueing and
+/// prefill) or a pause between events (a server busy with other work). Pure; the time is
+/// passed in.
+class stream_timing
 {
 public:
-    explicit stream_pace(boot_clock::time_point arrived) : arrived_(arrived) {}
+    explicit stream_timing(boot_clock::time_point arrived) : arrived_(arrived) {}
 
-    /// Events were passed on now.
-    void passed(boot_clock::time_point now)
+    /// Records that events were relayed at `now`.
+    void record_events(boot_clock::time_point now)
     {
         if (!started())
         {
@@ -28,7 +29,7 @@
         }
         else
         {
-            pause_ = std::max(pause_, now - last_);
+            longest_pause_ = std::max(longest_pause_, now - last_);
         }
         last_ = now;
     }
@@ -38,27 +39,28 @@
         return first_ != boot_clock::time_point{};
     }
 
-    /// When the first event was passed on; epoch: none was.
+    /// When the first event was relayed; the epoch if none was.
     boot_clock::time_point first() const noexcept
     {
         return first_;
     }
 
-    /// From the call's arrival to its first event; 0 if there was none.
-    boot_clock::duration wait() const noexcept
+    /// Time from the arrival of the call to its first event; 0 if there was none.
+    boot_clock::duration time_to_first_event() const noexcept
     {
         return started() ? first_ - arrived_ : boot_clock::duration::zero();
     }
 
     boot_clock::duration longest_pause() const noexcept
     {
-        return pause_;
+        return longest_pause_;
     }
 
-    /// Whether the route's caller was promised more.
-    bool late(route const& terms) const noexcept
+    /// Whether the route's objective or event gap was exceeded.
+    bool exceeds_targets(route const& terms) const noexcept
     {
-        bool const waited = terms.objective.count() > 0 && wait() > terms.objective;
+        bool const waited =
+            terms.objective.count() > 0 && time_to_first_event() > terms.objective;
         bool const paused =
             terms.event_gap.count() > 0 && longest_pause() > terms.event_gap;
         return waited || paused;
@@ -68,7 +70,7 @@
     boot_clock::time_point arrived_;
     boot_clock::time_point first_{};
     boot_clock::time_point last_{};
-    boot_clock::duration   pause_{};
+    boot_clock::duration   longest_pause_{};
 };
 
 } // namespace marigoldcrank
