--- a/src/serving/digest_link.cpp
+++ b/src/serving/digest_link.cpp
@@ -20,20 +20,20 @@
 // 4     digests waiting for one peer; older ones are worthless
 constexpr int queue_limit = 4;
 
-std::string letter_of(digest_scope scope)
+std::string scope_prefix(digest_scope scope)
 {
     return std::string(1, static_cast<char>('0' + static_cast<int>(scope)));
 }
 
-wire::load_digest format_digest(load_digest const& digest, digest_notes const& notes)
+wire::load_digest format_digest(load_digest const& digest, digest_extras const& extras)
 {
     wire::load_digest message;
     message.set_vm(digest.vm);
     message.set_data_centre(digest.data_centre);
     message.set_scope(static_cast<std::uint32_t>(digest.scope));
     message.set_vms(digest.work.vms);
-    message.set_records(notes.records);
-    message.mutable_heard()->Add(notes.heard.begin(), notes.heard.end());
+    message.set_records(extras.records);
+    message.mutable_heard()->Add(extras.heard.begin(), extras.heard.end());
     for (auto const& [server, load] : digest.work.loads)
     {
         auto* entry = message.add_servers();
@@ -51,7 +51,7 @@
         entry->set_prefill_speed(demand.prefill_speed);
         entry->set_streams(demand.streams);
     }
-    for (auto const& each : notes.usage)
+    for (auto const& each : extras.usage)
     {
         auto* entry = message.add_usage();
         entry->set_window(each.window);
@@ -59,19 +59,19 @@
         message.set_address(each.contact.digests);
         message.set_capacity(each.contact.capacity);
     }
-    for (auto const& each : notes.prefixes)
+    for (auto const& each : extras.prefixes)
     {
         auto* entry = message.add_prefixes();
         entry->set_server(each.server);
         entry->mutable_parts()->Add(each.parts.begin(), each.parts.end());
     }
-    for (auto const& [server, left] : notes.avoided)
+    for (auto const& [server, left] : extras.avoided)
     {
         auto* entry = message.add_avoided();
         entry->set_server(server);
         entry->set_left_ms(static_cast<std::uint32_t>(left.count()));
     }
-    for (auto const& each : notes.crashes)
+    for (auto const& each : extras.crashes)
     {
         auto* entry = message.add_suspicions();
         entry->set_content(each.content);
@@ -82,7 +82,7 @@
     return message;
 }
 
-vm_work work_of(wire::load_digest const& message)
+vm_work parse_work(wire::load_digest const& message)
 {
     vm_work work;
     work.vms = message.vms();
@@ -102,23 +102,23 @@
     return work;
 }
 
-digest_notes notes_of(wire::load_digest const& message)
+digest_extras parse_notes(wire::load_digest const& message)
 {
-    digest_notes notes;
-    notes.records = message.records();
-    notes.heard.assign(message.heard().begin(), message.heard().end());
+    digest_extras extras;
+    extras.records = message.records();
+    extras.heard.assign(message.heard().begin(), message.heard().end());
     for (auto const& entry : message.suspicions())
     {
-        notes.crashes.push_back(
+        extras.crashes.push_back(
             {entry.content(), entry.server(), entry.call_id(), entry.cleared()});
     }
     for (auto const& entry : message.avoided())
     {
-        notes.avoided.emplace(entry.server(), millis{entry.left_ms()});
+        extras.avoided.emplace(entry.server(), millis{entry.left_ms()});
     }
     for (auto const& entry : message.prefixes())
     {
-        notes.prefixes.push_back(
+        extras.prefixes.push_back(
             {entry.server(), {entry.parts().begin(), entry.parts().end()}});
     }
     vm_contact const contact{message.address(), message.records(), message.data_centre(),
@@ -126,9 +126,10 @@
     for (auto const& entry : message.usage())
     {
         usage_counts counts(entry.counts().begin(), entry.counts().end());
-        notes.usage.push_back({message.vm(), entry.window(), std::move(counts), contact});
+        extras.usage.push_back(
+            {message.vm(), entry.window(), std::move(counts), contact});
     }
-    return notes;
+    return extras;
 }
 
 } // namespace
@@ -136,16 +137,16 @@
 struct digest_link::state
 {
     state(asio::io_context& loop, zmq::context_t& context, handler on_digest)
-        : told(std::move(on_digest)),
-          out(loop, context, zmq::socket_type::pub, queue_limit, {}),
-          in(loop, context, zmq::socket_type::sub, queue_limit,
-             [this](std::vector<zmq::message_t>& parts) { take(parts); })
+        : deliver(std::move(on_digest)),
+          publisher(loop, context, zmq::socket_type::pub, queue_limit, {}),
+          subscriber(loop, context, zmq::socket_type::sub, queue_limit,
+                     [this](std::vector<zmq::message_t>& parts) { receive(parts); })
     {
     }
 
     /// A message that isn't ours is dropped; the next digest of a peer replaces it
     /// anyway.
-    void take(std::vector<zmq::message_t>& parts) const
+    void receive(std::vector<zmq::message_t>& parts) const
     {
         // Hundreds of entries a message: one block of memory for all of them.
         google::protobuf::Arena arena;
@@ -158,23 +159,23 @@
         if (read && message.scope() <= last)
         {
             load_digest digest{static_cast<digest_scope>(message.scope()), message.vm(),
-                               message.data_centre(), work_of(message)};
-            told(std::move(digest), notes_of(message));
+                               message.data_centre(), parse_work(message)};
+            deliver(std::move(digest), parse_notes(message));
         }
     }
 
-    handler                told;
-    watched_socket         out;
-    watched_socket         in;
+    handler                deliver;
+    watched_socket         publisher;
+    watched_socket         subscriber;
     std::set<std::string>  peers;
     std::set<digest_scope> scopes;
 };
 
 digest_link::digest_link(asio::io_context& loop, zmq::context_t& context,
-                         std::string const& own, handler on_digest)
+                         std::string const& bind_address, handler on_digest)
     : state_(std::make_unique<state>(loop, context, std::move(on_digest)))
 {
-    state_->out.socket().bind(zmq_endpoint(own));
+    state_->publisher.socket().bind(zmq_endpoint(bind_address));
 }
 
 digest_link::~digest_link() = default;
@@ -182,12 +183,12 @@
 void digest_link::follow(std::set<std::string> const&  peers,
                          std::set<digest_scope> const& scopes)
 {
-    auto& socket = state_->in.socket();
+    auto& socket = state_->subscriber.socket();
     for (auto const scope : scopes)
     {
         if (state_->scopes.insert(scope).second)
         {
-            socket.set(zmq::sockopt::subscribe, letter_of(scope));
+            socket.set(zmq::sockopt::subscribe, scope_prefix(scope));
         }
     }
     std::erase_if(state_->scopes,
@@ -196,7 +197,7 @@
                       bool const gone = scopes.count(scope) == 0;
                       if (gone)
                       {
-                          socket.set(zmq::sockopt::unsubscribe, letter_of(scope));
+                          socket.set(zmq::sockopt::unsubscribe, scope_prefix(scope));
                       }
                       return gone;
                   });
@@ -220,19 +221,19 @@
     drain();
 }
 
-void digest_link::publish(load_digest const& digest, digest_notes const& notes)
+void digest_link::publish(load_digest const& digest, digest_extras const& extras)
 {
-    auto const bytes = format_digest(digest, notes).SerializeAsString();
-    auto&      socket = state_->out.socket();
+    auto const bytes = format_digest(digest, extras).SerializeAsString();
+    auto&      socket = state_->publisher.socket();
     // A PUB socket drops for a peer whose queue is full; that is what is wanted.
-    static_cast<void>(socket.send(zmq::buffer(letter_of(digest.scope)),
+    static_cast<void>(socket.send(zmq::buffer(scope_prefix(digest.scope)),
                                   zmq::send_flags::dontwait | zmq::send_flags::sndmore));
     static_cast<void>(socket.send(zmq::buffer(bytes), zmq::send_flags::dontwait));
 }
 
 void digest_link::drain()
 {
-    state_->in.drain();
+    state_->subscriber.drain();
 }
 
 } // namespace marigoldcrank
--- a/src/serving/digest_link.hpp
+++ b/src/serving/digest_link.hpp
@@ -26,7 +26,7 @@
 {
 
 /// What a digest tells besides work: nothing of it is summed up by relays.
-struct digest_notes
+struct digest_extras
 {
     std::vector<crash_news>       crashes;
     std::vector<usage_record>     usage; // of the sender
@@ -42,11 +42,11 @@
 {
 public:
     /// Called on the loop for each digest.
-    using handler = std::function<void(load_digest digest, digest_notes const& notes)>;
+    using handler = std::function<void(load_digest digest, digest_extras const& extras)>;
 
     /// `own`: "IP:PORT". Throws zmq::error_t if the address can't be bound.
     digest_link(boost::asio::io_context& loop, zmq::context_t& context,
-                std::string const& own, handler on_digest);
+                std::string const& bind_address, handler on_digest);
     ~digest_link();
     digest_link(digest_link const&) = delete;
     digest_link& operator=(digest_link const&) = delete;
@@ -54,7 +54,7 @@
     /// Hears digests of these scopes from these peers, and from nobody else.
     void follow(std::set<std::string> const& peers, std::set<digest_scope> const& scopes);
 
-    void publish(load_digest const& digest, digest_notes const& notes);
+    void publish(load_digest const& digest, digest_extras const& extras);
 
     /// Takes in what has arrived; also called now and then by the owner, since the
     /// socket's descriptor tells of changes only.
--- a/src/serving/duty_worker.hpp
+++ b/src/serving/duty_worker.hpp
@@ -38,37 +38,39 @@
         auto const started = boot_clock::now();
         if (state_.settings.first_start)
         {
-            begin_usage(0);
+            start_usage_log(0);
         }
-        co_await hand_over(current_window());
+        co_await append_usage(current_window());
         if (state_.settings.first_start)
         {
-            co_await loop_sleep(times_.join);
+            co_await loop_sleep(times_.startup_wait);
         }
         while (true)
         {
-            auto const pause = state_.relayed && !state_.leads ? times_.member_hand_over
-                                                               : times_.hand_over;
+            auto const pause = state_.reads_via_peers && !state_.is_first_relay
+                                   ? times_.member_usage_delay
+                                   : times_.usage_delay;
             auto const past = state_.usage.window_of(state_.day_ms() - pause.count());
             auto const now = boot_clock::now();
-            bool const often =
-                log_.held_until(now) || state_.relays || now - started < times_.meeting;
-            bool const closing = past > handed_before_;
-            auto const pause_between = !often           ? state_.settings.usage_window
-                                       : state_.relayed ? times_.relayed_usage
-                                                        : times_.renew;
-            bool const retries = !waiting_.empty() && append_gate_.open(now);
-            if (closing || retries || now - usage_looked_ >= pause_between)
+            bool const often = log_.held_until(now) || state_.serves_peers ||
+                               now - started < times_.discovery;
+            bool const closing = past > appended_before_;
+            auto const pause_between = !often ? state_.settings.usage_window
+                                       : state_.reads_via_peers
+                                           ? times_.relayed_usage_poll
+                                           : times_.renew;
+            bool const retries = !pending_.empty() && append_gate_.open(now);
+            if (closing || retries || now - usage_read_at_ >= pause_between)
             {
-                usage_looked_ = now;
+                usage_read_at_ = now;
                 co_await read_usage();
             }
             if (closing || retries)
             {
-                handed_before_ = past;
-                co_await hand_over(past);
+                appended_before_ = past;
+                co_await append_usage(past);
             }
-            co_await loop_sleep(usage_look);
+            co_await loop_sleep(usage_poll);
         }
     }
 
@@ -84,9 +86,9 @@
     }
 
     /// Hands over all counts, those of the open window too: the process is about to end.
-    boost::asio::awaitable<void> hand_over_all()
+    boost::asio::awaitable<void> append_all_usage()
     {
-        return hand_over(current_window() + 1);
+        return append_usage(current_window() + 1);
     }
 
     /// Follows the lease, takes it when it is free, and does the duties while it is held.
@@ -98,17 +100,17 @@
             bool       waited = false;
             if (held)
             {
-                co_await hold();
+                co_await perform_duties();
             }
             else
             {
-                waited = co_await follow();
+                waited = co_await follow_lease();
             }
-            note_change();
-            fleet_.share_changes();
+            log_lease_change();
+            fleet_.update_changing();
             if (!waited)
             {
-                co_await loop_sleep(next_look());
+                co_await loop_sleep(poll_interval());
             }
         }
     }
@@ -119,34 +121,34 @@
         return state_.usage.window_of(state_.day_ms());
     }
 
-    boost::asio::awaitable<void> hand_over(std::int64_t before)
+    boost::asio::awaitable<void> append_usage(std::int64_t before)
     {
         while (usage_lane_busy_) // the lane serves one call at a time
         {
-            co_await loop_sleep(lane_look);
+            co_await loop_sleep(lane_poll);
         }
         for (auto const& record : state_.usage.take_before(before))
         {
-            if (!state_.relayed || !state_.usage_known.holds(record))
+            if (!state_.reads_via_peers || !state_.usage_known.holds(record))
             {
-                waiting_.push_back(record);
+                pending_.push_back(record);
             }
         }
-        if (state_.relays)
+        if (state_.serves_peers)
         {
             for (auto const& record : state_.usage_known.missing_before(before))
             {
-                waiting_.push_back(record);
+                pending_.push_back(record);
             }
         }
-        forget_handed_over();
-        if (waiting_.empty())
+        drop_appended();
+        if (pending_.empty())
         {
             co_return;
         }
-        auto const               count = waiting_.size();
+        auto const               count = pending_.size();
         std::vector<std::string> texts;
-        for (auto const& record : waiting_)
+        for (auto const& record : pending_)
         {
             texts.push_back(format_usage_record(record));
         }
@@ -156,22 +158,22 @@
         usage_lane_busy_ = false;
         auto const* offset = std::get_if<std::uint64_t>(&result);
         bool const  taken = offset != nullptr;
-        if (taken && !usage_begun_)
+        if (taken && !usage_started_)
         {
-            begin_usage(*offset > recent_records ? *offset - recent_records : 0);
+            start_usage_log(*offset > recent_records ? *offset - recent_records : 0);
         }
         if (!taken)
         {
             // A member's relay has its counts from digests and appends them too.
-            bool const member = state_.relayed && !state_.leads;
+            bool const member = state_.reads_via_peers && !state_.is_first_relay;
             append_gate_.limit(member ? patient_retries : retry_gate_options{});
             append_gate_.failed(boot_clock::now());
         }
         if (taken)
         {
             append_gate_.succeeded();
-            waiting_.erase(waiting_.begin(),
-                           waiting_.begin() + static_cast<std::ptrdiff_t>(count));
+            pending_.erase(pending_.begin(),
+                           pending_.begin() + static_cast<std::ptrdiff_t>(count));
         }
         state_.counters.add(taken ? "usage_appends_total"
                                   : "usage_append_failures_total");
@@ -179,21 +181,22 @@
 
     /// Load answered: after an outage of the store every VM of a large fleet would append
     /// what its relay has appended for it meanwhile.
-    void forget_handed_over()
+    void drop_appended()
     {
-        std::erase_if(waiting_, [&](usage_record const& record)
-                      { return state_.relayed && state_.usage_known.holds(record); });
+        std::erase_if(
+            pending_, [&](usage_record const& record)
+            { return state_.reads_via_peers && state_.usage_known.holds(record); });
     }
 
     static constexpr unsigned     duty_lane = 2;
     static constexpr unsigned     usage_lane = 3;
-    static constexpr std::int64_t kept_windows = 8; // windows; more than are ever due
+    static constexpr std::int64_t retained_windows = 8; // windows; more than are ever due
     // 400 records; more than the VMs of a fleet, each of which tells of itself once a
     // window
     static constexpr std::uint64_t recent_records = 400;
-    static constexpr millis        lane_look{
+    static constexpr millis        lane_poll{
         20}; // 20   ms; between looks for the lane to be free
-    static constexpr millis usage_look{300}; // 300  ms; between looks for a closed window
+    static constexpr millis usage_poll{300}; // 300  ms; between looks for a closed window
 
     static std::string usage_topic()
     {
@@ -204,7 +207,7 @@
 
     /// A holder that has fallen silent is watched more closely, to take over soon after
     /// its lease.
-    millis next_look() const
+    millis poll_interval() const
     {
         auto const now = boot_clock::now();
         if (log_.held_until(now))
@@ -213,22 +216,22 @@
         }
         if (log_.silence(now) > times_.renew * 2)
         {
-            return times_.close_look;
+            return times_.poll_silent_holder;
         }
-        return state_.relays ? times_.relay_look : times_.look;
+        return state_.serves_peers ? times_.relay_poll : times_.poll;
     }
 
     /// Whether no pause is needed: the read has waited for news, or the lease was taken.
-    boost::asio::awaitable<bool> follow()
+    boost::asio::awaitable<bool> follow_lease()
     {
-        bool const waits = state_.relays || state_.relayed;
-        auto const read = co_await catch_up(waits ? next_look() : millis{0});
-        bool const known = read == read_step::whole;
-        bool const waited = waits && read != read_step::failed;
+        bool const may_wait = state_.serves_peers || state_.reads_via_peers;
+        auto const read = co_await read_log(may_wait ? poll_interval() : millis{0});
+        bool const known = read == read_step::complete;
+        bool const waited = may_wait && read != read_step::failed;
         // Read through another VM the log may be older than the last renewal, and a
         // conditional append would mostly fail.
-        bool const behind = !known || state_.relayed;
-        if (behind || !log_.may_claim(boot_clock::now()) || state_.draining)
+        bool const outdated = !known || state_.reads_via_peers;
+        if (outdated || !log_.may_claim(boot_clock::now()) || state_.draining)
         {
             co_return waited;
         }
@@ -238,7 +241,7 @@
         co_return co_await append(std::move(claim));
     }
 
-    boost::asio::awaitable<void> hold()
+    boost::asio::awaitable<void> perform_duties()
     {
         if (state_.draining)
         {
@@ -246,8 +249,8 @@
         }
         std::vector<duty_record> records{duty_record{.kind = duty_kind::renew,
                                                      .holder = state_.incarnation,
-                                                     .window = reported_,
-                                                     .later = done_}};
+                                                     .window = reported_up_to_,
+                                                     .later = reported_windows_}};
         for (auto& seal : due_seals())
         {
             records.push_back(std::move(seal));
@@ -259,7 +262,7 @@
         if (co_await append(std::move(records)))
         {
             co_await report_sealed();
-            co_await fleet_.act();
+            co_await fleet_.send_orders();
         }
     }
 
@@ -280,7 +283,7 @@
         if (offset == nullptr)
         {
             // Without an answer it may have been appended: what was is read back.
-            co_await catch_up(millis{0});
+            co_await read_log(millis{0});
             co_return false;
         }
         for (std::size_t at = 0; at < records.size(); ++at)
@@ -293,11 +296,11 @@
     enum class read_step
     {
         failed,
-        part, // more records are there
-        whole // up to the end
+        partial, // more records are there
+        complete // up to the end
     };
 
-    boost::asio::awaitable<read_step> catch_up(millis wait)
+    boost::asio::awaitable<read_step> read_log(millis wait)
     {
         auto result = co_await store_.read(duty_lane, duty_topic(), log_.end(), wait);
         if (auto const* failure = std::get_if<store_failure>(&result))
@@ -324,12 +327,12 @@
         bool const whole = chunk.from + chunk.records.size() >= chunk.end;
         if (whole)
         {
-            co_return read_step::whole;
+            co_return read_step::complete;
         }
-        co_return read_step::part;
+        co_return read_step::partial;
     }
 
-    void note_change()
+    void log_lease_change()
     {
         auto const now = boot_clock::now();
         bool const held = log_.held_until(now).has_value();
@@ -348,15 +351,15 @@
 
     // Sealing
 
-    void begin_usage(std::uint64_t from)
+    void start_usage_log(std::uint64_t from)
     {
-        usage_begun_ = true;
-        usage_whole_ = from == 0;
+        usage_started_ = true;
+        usage_complete_ = from == 0;
         usage_next_ = from;
         usage_read_ = false;
         state_.log.write(event_line{"usage_log"}
                              .add("from", static_cast<std::int64_t>(from))
-                             .add("whole", usage_whole_ ? 1 : 0),
+                             .add("whole", usage_complete_ ? 1 : 0),
                          boot_clock::now());
     }
 
@@ -367,19 +370,19 @@
     /// others ask, and the holder of the duties, read the rest.
     boost::asio::awaitable<void> read_usage()
     {
-        bool const placed = state_.relays && state_.vms_known > 0;
+        bool const serves_others = state_.serves_peers && state_.known_vms > 0;
         bool const held = log_.held_until(boot_clock::now()).has_value();
-        if (usage_begun_ && !usage_whole_ && (placed || held))
+        if (usage_started_ && !usage_complete_ && (serves_others || held))
         {
-            begin_usage(0);
+            start_usage_log(0);
         }
-        if (!usage_begun_)
+        if (!usage_started_)
         {
             co_return; // the first append tells where the log ends
         }
         while (usage_lane_busy_) // the lane serves one call at a time
         {
-            co_await loop_sleep(lane_look);
+            co_await loop_sleep(lane_poll);
         }
         usage_lane_busy_ = true;
         auto result =
@@ -403,8 +406,8 @@
         usage_next_ = chunk.from + chunk.records.size();
         usage_read_ = usage_next_ >= chunk.end;
         auto const window = current_window();
-        state_.usage_known.forget_before(window - kept_windows);
-        state_.vms_known = static_cast<std::int64_t>(state_.usage_known.writers());
+        state_.usage_known.forget_before(window - retained_windows);
+        state_.known_vms = static_cast<std::int64_t>(state_.usage_known.writers());
     }
 
     /// Windows whose counts are in and that nobody has sealed yet.
@@ -414,19 +417,19 @@
         auto const               length = state_.settings.usage_window.count();
         auto const               now = state_.day_ms();
         auto const               last = (now - times_.seal.count()) / length - 1;
-        auto const               first = (now - times_.too_old.count()) / length;
-        if (!usage_read_ || !usage_whole_)
+        auto const               first = (now - times_.max_seal_age.count()) / length;
+        if (!usage_read_ || !usage_complete_)
         {
             return seals;
         }
         for (auto window = first; window <= last; ++window)
         {
             auto       counts = state_.usage_known.of(window);
-            bool const late = now - (window + 1) * length >= times_.seal_at_last.count();
+            bool const late = now - (window + 1) * length >= times_.seal_timeout.count();
             bool const due = late || state_.usage_known.complete(window);
             // A seal can be lost from the history; reports of this VM, and those that the
             // newest renewal tells of, can't. Two figures must not be reported.
-            bool const sealed = log_.sealed().count(window) > 0 || done(window);
+            bool const sealed = log_.sealed().count(window) > 0 || is_reported(window);
             bool const known = state_.usage_known.known(window);
             // Also without a single call: a window that isn't reported is missing.
             if (due && known && !sealed)
@@ -454,11 +457,11 @@
 
     boost::asio::awaitable<void> report_sealed()
     {
-        reported_ = std::max(reported_, log_.reported_up_to());
+        reported_up_to_ = std::max(reported_up_to_, log_.reported_up_to());
         std::vector<std::pair<std::int64_t, usage_counts>> due;
         for (auto const& [window, counts] : log_.sealed())
         {
-            if (!done(window))
+            if (!is_reported(window))
             {
                 due.emplace_back(window, counts);
             }
@@ -466,51 +469,53 @@
         for (auto const& [window, counts] : due)
         {
             auto const sender =
-                duty_authority(log_, state_.settings.name, times_.call_slack);
+                duty_authority(log_, state_.settings.name, times_.min_lease_left);
             if (!sender)
             {
                 break;
             }
             auto const outcome = co_await duties_.report_usage(*sender, window, counts);
-            note_report(window, counts, *sender, outcome);
+            log_report(window, counts, *sender, outcome);
             if (outcome != duty_outcome::accepted)
             {
                 break; // sealed, so the repeat will bear the same figures
             }
-            done_.insert(window);
+            reported_windows_.insert(window);
         }
-        advance_mark();
+        advance_reported();
     }
 
     /// Whether a window was reported, by this VM or by the holder before it.
-    bool done(std::int64_t window) const
+    bool is_reported(std::int64_t window) const
     {
-        return window <= reported_ || done_.count(window) > 0 || log_.reported(window);
+        return window <= reported_up_to_ || reported_windows_.count(window) > 0 ||
+               log_.reported(window);
     }
 
     /// The mark that a successor goes by: all windows up to it are reported. One that
     /// still waits for counts holds it back, but not the reports of later ones.
-    void advance_mark()
+    void advance_reported()
     {
         auto const length = state_.settings.usage_window.count();
-        auto const oldest = (state_.day_ms() - times_.too_old.count()) / length;
-        while (!done_.empty())
+        auto const oldest = (state_.day_ms() - times_.max_seal_age.count()) / length;
+        while (!reported_windows_.empty())
         {
-            auto const next = *done_.begin();
-            for (auto window = std::max(reported_ + 1, oldest); window < next; ++window)
+            auto const next = *reported_windows_.begin();
+            for (auto window = std::max(reported_up_to_ + 1, oldest); window < next;
+                 ++window)
             {
-                if (state_.usage_known.known(window) && !done(window))
+                if (state_.usage_known.known(window) && !is_reported(window))
                 {
                     return;
                 }
             }
-            reported_ = std::max(reported_, next);
-            done_.erase(done_.begin());
+            reported_up_to_ = std::max(reported_up_to_, next);
+            reported_windows_.erase(reported_windows_.begin());
         }
     }
 
-    void note_report(std::int64_t window, usage_counts const& counts,
-                     duty_sender const& sender, duty_outcome outcome)
+    void log_report(std::int64_t window, usage_counts const& counts,
+                    duty_sender const& sender, duty_outcome outcome)
     {
         state_.log.write(event_line{"usage_report"}
                              .add("window", window)
@@ -525,18 +530,18 @@
     Duties&                   duties_;
     duty_times                times_;
     duty_log                  log_;
-    std::vector<usage_record> waiting_; // that aren't known to be appended
+    std::vector<usage_record> pending_; // that aren't known to be appended
     std::uint64_t             usage_next_ = 0;
-    boot_clock::time_point    usage_looked_{};
-    retry_gate                append_gate_;         // for records that wait
-    bool                      usage_read_ = false;  // up to its end
-    bool                      usage_begun_ = false; // `usage_next_` is known
-    bool                      usage_whole_ = false; // read from the first record kept
-    std::int64_t              handed_before_ = 0;   // windows before this one
+    boot_clock::time_point    usage_read_at_{};
+    retry_gate                append_gate_;            // for records that wait
+    bool                      usage_read_ = false;     // up to its end
+    bool                      usage_started_ = false;  // `usage_next_` is known
+    bool                      usage_complete_ = false; // read from the first record kept
+    std::int64_t              appended_before_ = 0;    // windows before this one
     bool                      usage_lane_busy_ = false;
     bool                      held_ = false;
-    std::int64_t              reported_ = 0; // all windows up to this one
-    std::set<std::int64_t>    done_;         // reported later ones
+    std::int64_t              reported_up_to_ = 0; // all windows up to this one
+    std::set<std::int64_t>    reported_windows_;   // reported later ones
     fleet_orders<Duties>      fleet_;
 };
 
--- a/src/serving/entry_node.hpp
+++ b/src/serving/entry_node.hpp
@@ -32,8 +32,8 @@
           rules_(state_, shared_), servers_(state_, shared_),
           worker_(state_, shared_, duties_), signals_(loop_, SIGTERM, SIGINT, SIGHUP)
     {
-        shared_.limit_age(Codec::servers_topic(), oldest_servers);
-        shared_.limit_age(Codec::rules_topic(), oldest_rules);
+        shared_.limit_age(Codec::servers_topic(), max_servers_age);
+        shared_.limit_age(Codec::rules_topic(), max_rules_age);
     }
 
     /// Serves until a signal has drained it. Throws boost::system::system_error if an
@@ -43,7 +43,7 @@
         listen();
         spawn(worker_.run_usage());
         spawn(follow_store());
-        spawn(keep_house());
+        spawn(run_housekeeping());
         spawn(exchange_with_peers());
         spawn(await_signals());
         state_.log.write(event_line{"start"}
@@ -61,24 +61,24 @@
     // that
     //       reads for the others does so every 900 ms; if the store turns it away, they
     //       read for themselves
-    static constexpr millis oldest_servers{1300};
+    static constexpr millis max_servers_age{1300};
     // 1400  ms; new rules must be in force two seconds after they were written. The VM
     // that
     //       reads for the others waits up to 600 ms for them at the store, those that
     //       pass them on up to 700 ms
-    static constexpr millis oldest_rules{1400};
+    static constexpr millis max_rules_age{1400};
     // 200   ms; lines wait no longer, and idle connections are looked through
-    static constexpr millis house_pause{200};
+    static constexpr millis housekeeping_interval{200};
     // 1500  ms; longest wait for other VMs to be known when all start at once
-    static constexpr millis longest_placing{1500};
+    static constexpr millis max_discovery{1500};
     // 50    ms; between looks at whether they are
-    static constexpr millis placing_look{50};
+    static constexpr millis discovery_poll{50};
     // 1000  ms; between plans of whom to listen to, each of which sorts all VMs
-    static constexpr millis plan_pause{1000};
+    static constexpr millis plan_interval{1000};
     // 5000  ms; between lines that tell of calls to the store
-    static constexpr millis tally_pause{5000};
+    static constexpr millis tally_interval{5000};
     // 50    ms; between looks at whether all calls have ended
-    static constexpr millis drain_look{50};
+    static constexpr millis drain_poll{50};
     // 300   ms of the grace are left for the last answers to be taken
     static constexpr millis drain_reserve{300};
     // 100   ms of the grace are left to exit
@@ -106,13 +106,13 @@
                      [this]
                      {
                          bool const ready = state_.ready(boot_clock::now());
-                         return status_answer{ready ? 200U : 503U, ""};
+                         return status_response{ready ? 200U : 503U, ""};
                      });
         if (state_.settings.metrics.port != 0)
         {
             serve_status(loop_, state_.settings.metrics,
                          [this] {
-                             return status_answer{200, state_.counters.exposition()};
+                             return status_response{200, state_.counters.exposition()};
                          });
         }
         state_.counters.watch("log_lines_dropped_total", "",
@@ -126,25 +126,25 @@
     {
         auto const began = boot_clock::now();
         bool const alone = state_.settings.peers.port == 0;
-        while (state_.settings.first_start && !alone && !placed_ &&
-               boot_clock::now() - began < longest_placing)
+        while (state_.settings.first_start && !alone && !peers_known_ &&
+               boot_clock::now() - began < max_discovery)
         {
-            co_await loop_sleep(placing_look);
+            co_await loop_sleep(discovery_poll);
         }
         spawn(rules_.run());
         spawn(servers_.run());
         spawn(worker_.run_duties());
     }
 
-    boost::asio::awaitable<void> keep_house()
+    boost::asio::awaitable<void> run_housekeeping()
     {
         while (true)
         {
             state_.pool.trim(loop_clock::now());
             state_.log.flush(boot_clock::now());
-            note_readiness();
-            note_store_calls();
-            co_await loop_sleep(house_pause);
+            log_readiness();
+            log_store_calls();
+            co_await loop_sleep(housekeeping_interval);
         }
     }
 
@@ -154,21 +154,21 @@
         {
             co_return;
         }
-        peer_exchange exchange{loop_, state_, server_news()};
-        shared_.share(exchange.records());
+        peer_exchange exchange{loop_, state_, change_filters()};
+        shared_.set_link(exchange.records());
         while (true)
         {
             auto const now = boot_clock::now();
-            if (now - planned_ >= plan_pause || state_.vms_known != vms_planned_)
+            if (now - planned_at_ >= plan_interval || state_.known_vms != planned_vms_)
             {
-                planned_ = now;
-                vms_planned_ = state_.vms_known;
+                planned_at_ = now;
+                planned_vms_ = state_.known_vms;
                 exchange.follow(worker_.vms());
             }
-            exchange.pass();
-            placed_ = placed_ || state_.vms_known > 0;
+            exchange.publish_digests();
+            peers_known_ = peers_known_ || state_.known_vms > 0;
             shared_.read_directly(worker_.duty_topic(), state_.holds_duties);
-            shared_.passes_on(state_.relays);
+            shared_.passes_on(state_.serves_peers);
             shared_.relays_used(state_.relays_used());
             co_await loop_sleep(digest_pause);
         }
@@ -176,16 +176,16 @@
 
     /// What tells something new of the servers: most of their records only say that they
     /// live.
-    static peer_exchange::news_judge server_news()
+    static peer_exchange::filter_factory change_filters()
     {
         return [](std::string const& topic)
         {
             return topic == Codec::servers_topic() ? changed_entries<Codec>()
-                                                   : topic_mirror::judge{};
+                                                   : topic_mirror::change_filter{};
         };
     }
 
-    void note_readiness()
+    void log_readiness()
     {
         auto const now = boot_clock::now();
         bool const ready = state_.ready(now);
@@ -200,14 +200,14 @@
         }
     }
 
-    void note_store_calls()
+    void log_store_calls()
     {
         auto const now = boot_clock::now();
-        if (now - tallied_ < tally_pause)
+        if (now - tallied_at_ < tally_interval)
         {
             return;
         }
-        tallied_ = now;
+        tallied_at_ = now;
         for (auto const& [topic, calls] : shared_.tally().take())
         {
             state_.log.write(event_line{"store_calls"}
@@ -260,15 +260,15 @@
         state_.log.write(event_line{"stop"}.add("calls", state_.calls_in_work), began);
         co_await loop_sleep(state_.settings.drain_notice);
         state_.closed = true;
-        end_idle_links();
+        close_idle_links();
         auto const limit = state_.settings.grace - drain_reserve;
         while (boot_clock::now() - began < limit &&
                (state_.calls_in_work > 0 || !idle_.empty()))
         {
-            end_idle_links();
-            co_await loop_sleep(drain_look);
+            close_idle_links();
+            co_await loop_sleep(drain_poll);
         }
-        co_await hand_over_until(began + state_.settings.grace - exit_reserve);
+        co_await append_usage_until(began + state_.settings.grace - exit_reserve);
         state_.log.write(event_line{"stopped"}
                              .add("calls", state_.calls_in_work)
                              .add("took_ms", boot_clock::now() - began),
@@ -278,24 +278,24 @@
     /// Failure guarded against: a silent store takes seconds for an append, and the
     /// process would be killed at the end of its grace. What isn't handed over by then
     /// has been told in digests.
-    boost::asio::awaitable<void> hand_over_until(boot_clock::time_point until)
+    boost::asio::awaitable<void> append_usage_until(boot_clock::time_point until)
     {
         auto const done = std::make_shared<bool>(false);
-        spawn(hand_over(done));
+        spawn(append_usage(done));
         while (!*done && boot_clock::now() < until)
         {
-            co_await loop_sleep(drain_look);
+            co_await loop_sleep(drain_poll);
         }
     }
 
-    boost::asio::awaitable<void> hand_over(std::shared_ptr<bool> done)
+    boost::asio::awaitable<void> append_usage(std::shared_ptr<bool> done)
     {
-        co_await worker_.hand_over_all();
+        co_await worker_.append_all_usage();
         *done = true;
     }
 
     /// Closing our side first lets a request that crosses it be told apart by its sender.
-    void end_idle_links()
+    void close_idle_links()
     {
         auto const links = std::exchange(idle_, {});
         for (auto const& link : links)
@@ -317,11 +317,11 @@
     duty_worker<shared_store<Store>, Duties>     worker_;
     idle_links                                   idle_;
     boost::asio::signal_set                      signals_;
-    boot_clock::time_point                       tallied_{};
-    boot_clock::time_point                       planned_{};        // whom to listen to
-    std::int64_t                                 vms_planned_ = -1; // as many were known
-    bool                                         placed_ = false;   // knows whom to ask
-    bool                                         ready_ = false;
+    boot_clock::time_point                       tallied_at_{};
+    boot_clock::time_point                       planned_at_{};     // whom to listen to
+    std::int64_t                                 planned_vms_ = -1; // as many were known
+    bool peers_known_ = false;                                      // knows whom to ask
+    bool ready_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/entry_state.cpp
+++ b/src/serving/entry_state.cpp
@@ -14,17 +14,17 @@
 {
 
 // 8  tenths of a key's life are used; the rest covers the way of a call to its server
-constexpr std::int64_t used_tenths = 8;
+constexpr std::int64_t safe_tenths = 8;
 constexpr std::int64_t tenths = 10;
 // 5/4  of the VMs known, among which the deployment's retries are divided: VMs that start
 //      are counted by the others only after their first window
-constexpr std::int64_t known_parts = 4;
-constexpr std::int64_t shared_parts = 5;
+constexpr std::int64_t known_vms_parts = 4;
+constexpr std::int64_t assumed_vms_parts = 5;
 // 100  VMs while none is known: more than any deployment of today has
-constexpr std::int64_t unknown_vms = 100;
+constexpr std::int64_t default_vms = 100;
 // 500  ms; a VM that has told nothing for so long, three digests and a late one, isn't
 //      counted on
-constexpr millis heard_for{500};
+constexpr millis peer_timeout{500};
 // 450  ms; from a member to its relay, to another relay and to its members
 constexpr millis relayed_digest_age = digest_pause * 3;
 
@@ -54,7 +54,7 @@
 bool entry_state::keys_fresh(boot_clock::time_point now) const
 {
     return !settings.keys_fail_closed ||
-           now - view.read_sent < settings.key_life * used_tenths / tenths;
+           now - view.read_sent < settings.key_life * safe_tenths / tenths;
 }
 
 bool entry_state::ready(boot_clock::time_point now) const
@@ -70,9 +70,9 @@
     std::vector<candidate> result;
     for (auto const& [id, server] : servers.servers())
     {
-        bool const barred = server.leaving || tried.count(id) > 0 ||
-                            changing.count(id) > 0 || !servers.usable(id, now);
-        if (server.group != service || barred)
+        bool const unavailable = server.leaving || tried.count(id) > 0 ||
+                                 changing.count(id) > 0 || !servers.usable(id, now);
+        if (server.group != service || unavailable)
         {
             continue;
         }
@@ -106,20 +106,21 @@
 
 bool entry_state::relays_used() const
 {
-    return vms_known > settings.mesh;
+    return known_vms > settings.mesh;
 }
 
 bool entry_state::heard_lately(std::string const&     records,
                                boot_clock::time_point now) const
 {
-    auto const found = heard.find(records);
+    auto const found = last_heard.find(records);
     return records == contact.records ||
-           (found != heard.end() && now - found->second <= heard_for);
+           (found != last_heard.end() && now - found->second <= peer_timeout);
 }
 
-void entry_state::forget_silent(boot_clock::time_point now)
+void entry_state::forget_silent_peers(boot_clock::time_point now)
 {
-    std::erase_if(heard, [&](auto const& each) { return now - each.second > heard_for; });
+    std::erase_if(last_heard,
+                  [&](auto const& each) { return now - each.second > peer_timeout; });
 }
 
 vm_work entry_state::own_work(boot_clock::time_point now)
@@ -147,9 +148,9 @@
 retry_budget& entry_state::budget(std::string const& service)
 {
     auto const vms =
-        vms_known == 0 ? unknown_vms : vms_known * shared_parts / known_parts;
+        known_vms == 0 ? default_vms : known_vms * assumed_vms_parts / known_vms_parts;
     retry_budget_options const share{
-        .percent = settings.retry_percent * used_tenths / tenths,
+        .percent = settings.retry_percent * safe_tenths / tenths,
         .burst = std::max<std::int64_t>(
             settings.retry_slack / std::max<std::int64_t>(vms, 1), 1)};
     auto& budget = budgets_.try_emplace(service, share).first->second;
--- a/src/serving/entry_state.hpp
+++ b/src/serving/entry_state.hpp
@@ -78,7 +78,7 @@
     bool heard_lately(std::string const& records, boot_clock::time_point now) const;
 
     /// Forgets VMs that weren't heard lately.
-    void forget_silent(boot_clock::time_point now);
+    void forget_silent_peers(boot_clock::time_point now);
 
     /// What this VM has in work and is asked for.
     vm_work own_work(boot_clock::time_point now);
@@ -120,13 +120,13 @@
     true_clock                         day;
     crash_watch                        crashes;
     std::map<std::string, boot_clock::time_point>
-                 heard; // VMs, by where they answer others
+                 last_heard; // VMs, by where they answer others
     fleet_share  fleet;
-    quota_gate*  quotas = nullptr; // null: nobody can be asked yet
-    std::int64_t vms_known = 0;    // that handed over usage lately; 0: none
-    bool         relayed = false;  // records of the store come through other VMs
-    bool         relays = false;   // other VMs hear of the store through this one
-    bool         leads = false;    // of its data centre's relays it is the first
+    quota_gate*  quotas = nullptr;        // null: nobody can be asked yet
+    std::int64_t known_vms = 0;           // that handed over usage lately; 0: none
+    bool         reads_via_peers = false; // records of the store come through other VMs
+    bool         serves_peers = false;    // other VMs hear of the store through this one
+    bool         is_first_relay = false;  // of its data centre's relays it is the first
     bool         holds_duties = false;
     bool         draining = false; // not ready; still serving
     bool         closed = false;   // takes no new calls any more
--- a/src/serving/fleet_orders.hpp
+++ b/src/serving/fleet_orders.hpp
@@ -31,9 +31,9 @@
     }
 
     /// One pass, while the lease is held. Each call checks what is left of the lease.
-    boost::asio::awaitable<void> act()
+    boost::asio::awaitable<void> send_orders()
     {
-        silent_ = false;
+        platform_silent_ = false;
         co_await order_servers();
         plan_roles();
         co_await send_role_orders();
@@ -45,8 +45,8 @@
         std::vector<duty_record> records;
         for (auto const& [id, change] : role_changes_)
         {
-            bool const told = announced(id, change);
-            if (!change.ordered && !told)
+            bool const logged = announced(id, change);
+            if (!change.ordered && !logged)
             {
                 records.push_back({.kind = duty_kind::change,
                                    .holder = state_.incarnation,
@@ -58,7 +58,7 @@
     }
 
     /// Engines that are about to change, or do, take no new work on any VM.
-    void share_changes()
+    void update_changing()
     {
         auto const now = boot_clock::now();
         state_.changing.clear();
@@ -93,8 +93,8 @@
     /// engine.
     bool announced(std::string const& id, role_change const& change) const
     {
-        auto const told = log_.changing().find(id);
-        return told != log_.changing().end() && told->second.heard >= change.planned;
+        auto const logged = log_.changing().find(id);
+        return logged != log_.changing().end() && logged->second.heard >= change.planned;
     }
 
     boost::asio::awaitable<void> order_servers()
@@ -129,14 +129,14 @@
         for (auto const& order : orders)
         {
             auto const sender =
-                duty_authority(log_, state_.settings.name, times_.call_slack);
-            if (!sender || silent_)
+                duty_authority(log_, state_.settings.name, times_.min_lease_left);
+            if (!sender || platform_silent_)
             {
                 co_return;
             }
-            auto& last = orders_[{order.service, order.data_centre, order.cheap}];
+            auto& last = last_orders_[{order.service, order.data_centre, order.cheap}];
             if (last.count == order.count &&
-                boot_clock::now() - last.at < times_.order_again)
+                boot_clock::now() - last.at < times_.order_repeat)
             {
                 continue;
             }
@@ -163,7 +163,7 @@
                                  .add("epoch", static_cast<std::int64_t>(sender->epoch))
                                  .add("outcome", static_cast<std::int64_t>(outcome)),
                              now);
-            silent_ = silent_ || outcome == duty_outcome::no_answer;
+            platform_silent_ = platform_silent_ || outcome == duty_outcome::no_answer;
         }
     }
 
@@ -225,22 +225,25 @@
         auto const                                       now = boot_clock::now();
         for (auto& [id, change] : role_changes_)
         {
-            bool const read = announced(id, change) &&
-                              now - log_.changing().at(id).heard >= times_.announce;
+            bool const read =
+                announced(id, change) &&
+                now - log_.changing().at(id).heard >= times_.announcement_delay;
             if (!change.ordered && read)
             {
                 change.ordered = true;
                 due.emplace_back(id, change.role);
             }
         }
-        std::erase_if(role_changes_, [&](auto const& entry)
-                      { return now - entry.second.planned > times_.change; });
+        std::erase_if(role_changes_,
+                      [&](auto const& entry) {
+                          return now - entry.second.planned > times_.role_change_timeout;
+                      });
         for (auto const& [id, role] : due)
         {
             auto const found = state_.servers.servers().find(id);
             auto const sender =
-                duty_authority(log_, state_.settings.name, times_.call_slack);
-            if (found == state_.servers.servers().end() || !sender || silent_)
+                duty_authority(log_, state_.settings.name, times_.min_lease_left);
+            if (found == state_.servers.servers().end() || !sender || platform_silent_)
             {
                 continue;
             }
@@ -252,13 +255,13 @@
                                  .add("epoch", static_cast<std::int64_t>(sender->epoch))
                                  .add("outcome", static_cast<std::int64_t>(outcome)),
                              boot_clock::now());
-            silent_ = silent_ || outcome == duty_outcome::no_answer;
+            platform_silent_ = platform_silent_ || outcome == duty_outcome::no_answer;
         }
     }
 
     bool in_change(announced_change const& change, boot_clock::time_point now) const
     {
-        return now - change.heard < times_.change;
+        return now - change.heard < times_.role_change_timeout;
     }
 
     /// All engines of a service that stay, those in a change with the role they will
@@ -276,13 +279,13 @@
             split_engine each{.server = &server, .role = server.role};
             auto const   load = state_.loads.find(id);
             each.running = load == state_.loads.end() ? 0 : load->second.running;
-            auto const told = log_.changing().find(id);
-            if (told != log_.changing().end())
+            auto const logged = log_.changing().find(id);
+            if (logged != log_.changing().end())
             {
-                each.changed = told->second.heard;
-                each.role = !in_change(told->second, now) ? server.role
-                            : told->second.prefill        ? engine_role::prefill
-                                                          : engine_role::decode;
+                each.changed = logged->second.heard;
+                each.role = !in_change(logged->second, now) ? server.role
+                            : logged->second.prefill        ? engine_role::prefill
+                                                            : engine_role::decode;
             }
             auto const planned = role_changes_.find(id);
             if (planned != role_changes_.end() && !planned->second.ordered)
@@ -299,11 +302,11 @@
     Duties&                                                          duties_;
     duty_log const&                                                  log_;
     duty_times                                                       times_;
-    std::map<std::tuple<std::string, std::string, bool>, last_order> orders_;
+    std::map<std::tuple<std::string, std::string, bool>, last_order> last_orders_;
     std::map<std::string, fleet_state> fleets_;       // by service
     std::map<std::string, role_change> role_changes_; // by engine
     // A call of this pass got no answer: the lease must not run out over further ones.
-    bool silent_ = false;
+    bool platform_silent_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/peer_exchange.cpp
+++ b/src/serving/peer_exchange.cpp
@@ -11,9 +11,9 @@
 
 // 3     one digest in so many tells of usage: a VM that is killed loses 450 ms of its
 //       counts, a tenth of a window, of which 0.05 may be missing over all VMs
-constexpr std::uint64_t usage_every = 3;
+constexpr std::uint64_t usage_interval = 3;
 // 16    digests between two looks for what is too old to be kept
-constexpr std::uint64_t expire_every = 16;
+constexpr std::uint64_t expiry_interval = 16;
 
 std::set<digest_scope> scopes_of(relay_plan const& plan)
 {
@@ -27,7 +27,7 @@
 
 /// Whose observations a digest tells of: that of one VM its own, that of a data centre
 /// those of its VMs, that of the fleet all.
-news_source widest_in(digest_scope scope)
+news_source widest_source(digest_scope scope)
 {
     switch (scope)
     {
@@ -42,12 +42,12 @@
 }
 
 std::vector<prefix_news> prefixes_for(digest_scope                 scope,
-                                      prefix_news_by_source const& prefix_news_told)
+                                      prefix_news_by_source const& prefix_updates)
 {
     std::vector<prefix_news> result;
-    for (auto const& [source, news] : prefix_news_told)
+    for (auto const& [source, news] : prefix_updates)
     {
-        if (source <= widest_in(scope))
+        if (source <= widest_source(scope))
         {
             result.insert(result.end(), news.begin(), news.end());
         }
@@ -58,17 +58,17 @@
 } // namespace
 
 peer_exchange::peer_exchange(boost::asio::io_context& loop, entry_state& state,
-                             news_judge news_of)
+                             filter_factory make_filter)
     : state_(state), context_(std::make_unique<zmq::context_t>(1)),
       records_(state.contact.records.empty()
                    ? nullptr
                    : std::make_unique<record_link>(loop, *context_, state.contact.records,
-                                                   std::move(news_of))),
+                                                   std::move(make_filter))),
       quotas_(records_ ? std::make_unique<quota_gate>(loop, *context_, state, *records_)
                        : nullptr),
       digests_(loop, *context_, state.contact.digests,
-               [this](load_digest digest, digest_notes const& notes)
-               { take(std::move(digest), notes); })
+               [this](load_digest digest, digest_extras const& extras)
+               { receive(std::move(digest), extras); })
 {
     state_.quotas = quotas_.get();
 }
@@ -78,40 +78,40 @@
     state_.quotas = nullptr;
 }
 
-void peer_exchange::pass()
+void peer_exchange::publish_digests()
 {
     digests_.drain();
-    auto const   now = boot_clock::now();
-    digest_notes notes{.crashes = state_.crashes.news(now),
-                       .records = state_.contact.records};
-    state_.fleet.note(state_.peers.vms(now) + 1, listed_, now);
-    auto const prefix_news_told = state_.prefixes.take_news();
-    ++passes_;
-    if (passes_ % expire_every == 0)
+    auto const    now = boot_clock::now();
+    digest_extras extras{.crashes = state_.crashes.news(now),
+                         .records = state_.contact.records};
+    state_.fleet.note(state_.peers.vms(now) + 1, listed_vms_, now);
+    auto const prefix_updates = state_.prefixes.take_news();
+    ++rounds_;
+    if (rounds_ % expiry_interval == 0)
     {
         state_.prefixes.expire(now);
-        state_.forget_silent(now);
+        state_.forget_silent_peers(now);
     }
     for (auto const& digest : state_.peers.digests(state_.own_work(now), now))
     {
         bool const own = digest.scope == digest_scope::vm;
-        notes.usage = own && passes_ % usage_every == 0 ? state_.recent_usage()
-                                                        : std::vector<usage_record>{};
-        notes.prefixes = prefixes_for(digest.scope, prefix_news_told);
-        notes.avoided = state_.health.news(widest_in(digest.scope), now);
-        notes.heard = digest.scope == digest_scope::fleet && quotas_
-                          ? quotas_->homes_heard(now)
-                          : std::vector<std::string>{};
-        digests_.publish(digest, notes);
+        extras.usage = own && rounds_ % usage_interval == 0 ? state_.recent_usage()
+                                                            : std::vector<usage_record>{};
+        extras.prefixes = prefixes_for(digest.scope, prefix_updates);
+        extras.avoided = state_.health.news(widest_source(digest.scope), now);
+        extras.heard = digest.scope == digest_scope::fleet && quotas_
+                           ? quotas_->homes_heard(now)
+                           : std::vector<std::string>{};
+        digests_.publish(digest, extras);
     }
     if (records_)
     {
         records_->tick();
-        note_relayed(records_->relayed());
+        update_relayed(records_->relayed());
     }
 }
 
-void peer_exchange::take(load_digest digest, digest_notes const& notes)
+void peer_exchange::receive(load_digest digest, digest_extras const& extras)
 {
     auto const now = boot_clock::now();
     auto const scope = digest.scope;
@@ -119,29 +119,29 @@
     {
         return;
     }
-    state_.heard[notes.records] = now;
-    for (auto const& each : notes.heard)
+    state_.last_heard[extras.records] = now;
+    for (auto const& each : extras.heard)
     {
-        state_.heard[each] = now;
+        state_.last_heard[each] = now;
     }
-    for (auto const& each : notes.crashes)
+    for (auto const& each : extras.crashes)
     {
         state_.crashes.absorb(each, now);
     }
     auto const source =
         scope == digest_scope::vm ? news_source::centre : news_source::others;
-    for (auto const& [server, left] : notes.avoided)
+    for (auto const& [server, left] : extras.avoided)
     {
         if (state_.settings.warn)
         {
             state_.health.hear(server, left, source, now);
         }
     }
-    for (auto const& each : notes.prefixes)
+    for (auto const& each : extras.prefixes)
     {
         state_.prefixes.hear(each, source, now);
     }
-    for (auto const& each : notes.usage)
+    for (auto const& each : extras.usage)
     {
         state_.usage_known.hear(each);
     }
@@ -151,12 +151,12 @@
 {
     auto plan = plan_relays(vms, state_.contact,
                             {.mesh = static_cast<std::size_t>(state_.settings.mesh)});
-    note_plan(plan);
+    log_plan(plan);
     digests_.follow(plan.digests, scopes_of(plan));
-    state_.relays = plan.answers;
-    state_.leads = plan.leads;
+    state_.serves_peers = plan.answers;
+    state_.is_first_relay = plan.leads;
     state_.peers.follow(plan, state_.incarnation, state_.settings.data_centre);
-    listed_ = static_cast<std::int64_t>(vms.size());
+    listed_vms_ = static_cast<std::int64_t>(vms.size());
     if (quotas_)
     {
         quotas_->follow(plan.homes);
@@ -169,20 +169,20 @@
     plan_ = std::move(plan);
 }
 
-void peer_exchange::note_relayed(bool relayed)
+void peer_exchange::update_relayed(bool relayed)
 {
-    if (relayed == state_.relayed)
+    if (relayed == state_.reads_via_peers)
     {
         return;
     }
-    state_.relayed = relayed;
+    state_.reads_via_peers = relayed;
     state_.log.write(event_line{relayed ? "relays_regained" : "relays_lost"}
                          .add("keys_age_ms", boot_clock::now() - state_.view.read_sent)
                          .add("relays", static_cast<std::int64_t>(plan_.records.size())),
                      boot_clock::now());
 }
 
-void peer_exchange::note_plan(relay_plan const& plan)
+void peer_exchange::log_plan(relay_plan const& plan)
 {
     if (plan.mesh == plan_.mesh && plan.answers == plan_.answers &&
         plan.records == plan_.records)
--- a/src/serving/peer_exchange.hpp
+++ b/src/serving/peer_exchange.hpp
@@ -19,10 +19,11 @@
 class peer_exchange
 {
 public:
-    using news_judge = std::function<topic_mirror::judge(std::string const&)>;
+    using filter_factory = std::function<topic_mirror::change_filter(std::string const&)>;
 
     /// Throws zmq::error_t if an address can't be bound.
-    peer_exchange(boost::asio::io_context& loop, entry_state& state, news_judge news_of);
+    peer_exchange(boost::asio::io_context& loop, entry_state& state,
+                  filter_factory make_filter);
     ~peer_exchange();
     peer_exchange(peer_exchange const&) = delete;
     peer_exchange& operator=(peer_exchange const&) = delete;
@@ -31,7 +32,7 @@
     void follow(std::set<vm_contact> const& vms);
 
     /// Tells of this VM, and answers questions that have waited long enough.
-    void pass();
+    void publish_digests();
 
     /// Null if this VM offers no records.
     record_link* records()
@@ -40,9 +41,9 @@
     }
 
 private:
-    void take(load_digest digest, digest_notes const& notes);
-    void note_plan(relay_plan const& plan);
-    void note_relayed(bool relayed);
+    void receive(load_digest digest, digest_extras const& extras);
+    void log_plan(relay_plan const& plan);
+    void update_relayed(bool relayed);
 
     entry_state&                    state_;
     std::unique_ptr<zmq::context_t> context_;
@@ -50,14 +51,14 @@
     std::unique_ptr<quota_gate>     quotas_; // null if this VM offers no records
     digest_link                     digests_;
     relay_plan                      plan_;
-    std::uint64_t                   passes_ = 0;
-    std::int64_t                    listed_ = 0; // VMs that the store knows
+    std::uint64_t                   rounds_ = 0;
+    std::int64_t                    listed_vms_ = 0; // VMs that the store knows
 };
 
 /// A judge for entries of servers: a record is news if it changes what is believed of its
 /// server. Without this every VM would decode each sign of life of each server.
 template <class Codec>
-topic_mirror::judge changed_entries()
+topic_mirror::change_filter changed_entries()
 {
     return [known = std::map<std::string, std::optional<backend_server>>{}](
                std::string const& text) mutable
--- a/src/serving/record_link.cpp
+++ b/src/serving/record_link.cpp
@@ -26,12 +26,12 @@
 constexpr int queue_limit = 64;
 // 250   ms beyond the wait asked for, until a relay counts as silent: the store is read
 //       before what is known of keys is too old
-constexpr millis patience{250};
+constexpr millis reply_margin{250};
 // 500   ms; a relay that knew nothing fresh is left alone for so long
-constexpr millis stale_pause{500};
+constexpr millis stale_backoff{500};
 // 2000 to 8000  ms; the same for one that was silent
-constexpr millis first_pause{2000};
-constexpr millis longest_pause{8000};
+constexpr millis min_backoff{2000};
+constexpr millis max_backoff{8000};
 
 } // namespace
 
@@ -45,23 +45,23 @@
 {
     std::string                     address;
     std::unique_ptr<watched_socket> socket;
-    boot_clock::time_point          shunned{}; // until then
-    millis                          pause = first_pause;
+    boot_clock::time_point          avoided_until{}; // until then
+    millis                          backoff = min_backoff;
 };
 
 /// A question that waits for its answer.
-struct open_ask
+struct pending_query
 {
-    explicit open_ask(asio::io_context& loop) : timer(loop) {}
+    explicit pending_query(asio::io_context& loop) : timer(loop) {}
 
     asio::steady_timer                  timer;
     std::optional<wire::records_answer> answer;
 };
 
 /// A question of another VM that waits for news.
-struct parked_ask
+struct waiting_query
 {
-    std::string            asker;
+    std::string            requester;
     wire::records_ask      ask;
     boot_clock::time_point since{};
     boot_clock::time_point until{};
@@ -84,20 +84,20 @@
 
 struct record_link::state
 {
-    using news_judge = std::function<topic_mirror::judge(std::string const&)>;
+    using filter_factory = std::function<topic_mirror::change_filter(std::string const&)>;
 
-    state(asio::io_context& io, zmq::context_t& zmq, news_judge news)
-        : loop(io), context(zmq), news_of(std::move(news)),
+    state(asio::io_context& io, zmq::context_t& zmq, filter_factory make_change_filter)
+        : loop(io), context(zmq), make_filter(std::move(make_change_filter)),
           server(loop, context, zmq::socket_type::router, queue_limit,
-                 [this](std::vector<zmq::message_t>& parts) { take_ask(parts); })
+                 [this](std::vector<zmq::message_t>& parts) { receive_query(parts); })
     {
     }
 
     relay_peer* next_relay(boot_clock::time_point now)
     {
-        auto const found =
-            std::find_if(relays.begin(), relays.end(),
-                         [&](relay_peer const& each) { return now >= each.shunned; });
+        auto const found = std::find_if(relays.begin(), relays.end(),
+                                        [&](relay_peer const& each)
+                                        { return now >= each.avoided_until; });
         return found == relays.end() ? nullptr : &*found;
     }
 
@@ -112,30 +112,30 @@
     /// A relay that answers without knowing better has lost the store, maybe for all. It
     /// is asked again soon: it costs no time, and if it stayed away its members would go
     /// on reading the store for seconds after an outage.
-    void shun_stale(std::string const& address)
+    void avoid_stale(std::string const& address)
     {
         if (auto* relay = find(address))
         {
-            relay->shunned = boot_clock::now() + stale_pause;
+            relay->avoided_until = boot_clock::now() + stale_backoff;
         }
     }
 
     /// A silent relay, if it is still one, is left alone: longer each time, since every
     /// try costs time in which knowledge gets older.
-    void shun_silent(std::string const& address)
+    void avoid_silent(std::string const& address)
     {
         if (auto* relay = find(address))
         {
-            relay->shunned = boot_clock::now() + relay->pause;
-            relay->pause = std::min(relay->pause * 2, longest_pause);
+            relay->avoided_until = boot_clock::now() + relay->backoff;
+            relay->backoff = std::min(relay->backoff * 2, max_backoff);
         }
     }
 
-    void trust(std::string const& address)
+    void reset_backoff(std::string const& address)
     {
         if (auto* relay = find(address))
         {
-            relay->pause = first_pause;
+            relay->backoff = min_backoff;
         }
     }
 
@@ -148,28 +148,28 @@
     }
 
     /// The relay's answer; nothing if it is silent.
-    asio::awaitable<std::optional<wire::records_answer>> ask(relay_peer&   relay,
-                                                             records_query query)
+    asio::awaitable<std::optional<wire::records_answer>> fetch(relay_peer&   relay,
+                                                               records_query query)
     {
         auto const        asked = ++number;
-        auto const        asking = std::make_shared<open_ask>(loop);
+        auto const        asking = std::make_shared<pending_query>(loop);
         wire::records_ask message;
         message.set_number(asked);
         message.set_topic(query.topic);
         message.set_from(query.from);
         message.set_wait_ms(static_cast<std::uint32_t>(query.wait.count()));
-        message.set_oldest_ms(static_cast<std::uint32_t>(query.oldest.count()));
-        open[asked] = asking;
-        asking->timer.expires_after(query.wait + patience);
+        message.set_oldest_ms(static_cast<std::uint32_t>(query.max_age.count()));
+        pending_queries[asked] = asking;
+        asking->timer.expires_after(query.wait + reply_margin);
         send(relay, message);
         boost::system::error_code error; // cancelled by the answer, or over
         co_await asking->timer.async_wait(
             asio::redirect_error(asio::use_awaitable, error));
-        open.erase(asked);
+        pending_queries.erase(asked);
         co_return std::move(asking->answer);
     }
 
-    void take_answer(std::vector<zmq::message_t>& parts)
+    void receive_reply(std::vector<zmq::message_t>& parts)
     {
         wire::records_answer answer;
         auto const&          bytes = parts.back();
@@ -177,8 +177,8 @@
         {
             return; // the question runs into its time-out
         }
-        auto const found = open.find(answer.number());
-        if (found != open.end())
+        auto const found = pending_queries.find(answer.number());
+        if (found != pending_queries.end())
         {
             found->second->answer = std::move(answer);
             found->second->timer.cancel();
@@ -187,69 +187,70 @@
 
     // Answering
 
-    void take_ask(std::vector<zmq::message_t>& parts)
+    void receive_query(std::vector<zmq::message_t>& parts)
     {
         constexpr std::size_t with_kind = 3;
         if (parts.size() == with_kind)
         {
-            return answer_other(parts);
+            return reply_other(parts);
         }
-        parked_ask       parked;
+        waiting_query    waiter;
         auto const&      bytes = parts.back();
         constexpr millis longest{5000}; // a reader's own wait is far shorter
         if (parts.size() != 2 ||
-            !parked.ask.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+            !waiter.ask.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         {
             return;
         }
-        parked.asker = parts.front().to_string();
-        auto const wait = std::min(millis{parked.ask.wait_ms()}, longest);
-        parked.since = boot_clock::now();
-        parked.until = parked.since + wait;
-        if (!answer_if_due(parked, boot_clock::now()))
+        waiter.requester = parts.front().to_string();
+        auto const wait = std::min(millis{waiter.ask.wait_ms()}, longest);
+        waiter.since = boot_clock::now();
+        waiter.until = waiter.since + wait;
+        if (!reply_if_due(waiter, boot_clock::now()))
         {
-            waiting.push_back(std::move(parked));
+            waiting.push_back(std::move(waiter));
         }
     }
 
-    void answer_other(std::vector<zmq::message_t> const& parts)
+    void reply_other(std::vector<zmq::message_t> const& parts)
     {
         auto const answer = others ? others(parts.back().to_string()) : std::string{};
         if (!answer.empty())
         {
-            send_answer(parts.front().to_string(), answer);
+            send_reply(parts.front().to_string(), answer);
         }
     }
 
-    void send_answer(std::string const& asker, std::string const& bytes)
+    void send_reply(std::string const& requester, std::string const& bytes)
     {
         auto& socket = server.socket();
-        static_cast<void>(socket.send(zmq::buffer(asker), zmq::send_flags::dontwait |
-                                                              zmq::send_flags::sndmore));
+        static_cast<void>(
+            socket.send(zmq::buffer(requester),
+                        zmq::send_flags::dontwait | zmq::send_flags::sndmore));
         static_cast<void>(socket.send(zmq::buffer(bytes), zmq::send_flags::dontwait));
     }
 
-    bool answer_if_due(parked_ask const& parked, boot_clock::time_point now)
+    bool reply_if_due(waiting_query const& waiter, boot_clock::time_point now)
     {
-        auto const mirror = mirrors.find(parked.ask.topic());
-        auto const from = parked.ask.from();
+        auto const mirror = mirrors.find(waiter.ask.topic());
+        auto const from = waiter.ask.from();
         bool const held = mirror != mirrors.end() && mirror->second.holds(from);
-        bool const waits = held && !mirror->second.has_news(from) &&
-                           mirror->second.age(now) <= millis{parked.ask.oldest_ms()};
-        if (waits && now < parked.until)
+        bool const waits = held && !mirror->second.has_changes(from) &&
+                           mirror->second.age(now) <= millis{waiter.ask.oldest_ms()};
+        if (waits && now < waiter.until)
         {
             return false;
         }
         wire::records_answer answer;
-        answer.set_number(parked.ask.number());
+        answer.set_number(waiter.ask.number());
         answer.set_known(held);
         if (held)
         {
-            auto const parked_for = std::chrono::floor<millis>(now - parked.since);
-            answer.set_held_ms(static_cast<std::uint64_t>(parked_for.count()));
+            auto const waited = std::chrono::floor<millis>(now - waiter.since);
+            answer.set_held_ms(static_cast<std::uint64_t>(waited.count()));
             fill(answer, mirror->second, from, now);
         }
-        send_answer(parked.asker, answer.SerializeAsString());
+        send_reply(waiter.requester, answer.SerializeAsString());
         return true;
     }
 
@@ -267,35 +268,36 @@
         }
     }
 
-    void answer_waiting()
+    void reply_to_waiting()
     {
         auto const now = boot_clock::now();
-        std::erase_if(waiting, [&](parked_ask const& parked)
-                      { return answer_if_due(parked, now); });
+        std::erase_if(waiting, [&](waiting_query const& waiter)
+                      { return reply_if_due(waiter, now); });
         server.drain();
     }
 
-    asio::io_context&                                  loop;
-    zmq::context_t&                                    context;
-    news_judge                                         news_of;
-    std::vector<relay_peer>                            relays;
-    std::map<std::uint64_t, std::shared_ptr<open_ask>> open;
-    std::uint64_t                                      number = 0;
+    asio::io_context&                                       loop;
+    zmq::context_t&                                         context;
+    filter_factory                                          make_filter;
+    std::vector<relay_peer>                                 relays;
+    std::map<std::uint64_t, std::shared_ptr<pending_query>> pending_queries;
+    std::uint64_t                                           number = 0;
     bool stale = false;  // the last relay that was asked has lost the store
     bool serves = false; // other VMs ask this one
     record_link::other_answers          others;
     std::map<std::string, topic_mirror> mirrors;
-    std::list<parked_ask>               waiting;
+    std::list<waiting_query>            waiting;
     watched_socket                      server;
 };
 
 // 3. record_link
 
 record_link::record_link(asio::io_context& loop, zmq::context_t& context,
-                         std::string const& own, state::news_judge news_of)
-    : state_(std::make_unique<state>(loop, context, std::move(news_of)))
+                         std::string const&    bind_address,
+                         state::filter_factory make_filter)
+    : state_(std::make_unique<state>(loop, context, std::move(make_filter)))
 {
-    state_->server.socket().bind(zmq_endpoint(own));
+    state_->server.socket().bind(zmq_endpoint(bind_address));
 }
 
 record_link::~record_link() = default;
@@ -316,7 +318,7 @@
     {
         auto socket = std::make_unique<watched_socket>(
             state_->loop, state_->context, zmq::socket_type::dealer, queue_limit,
-            [this](std::vector<zmq::message_t>& parts) { state_->take_answer(parts); });
+            [this](std::vector<zmq::message_t>& parts) { state_->receive_reply(parts); });
         socket->socket().connect(zmq_endpoint(address));
         state_->relays.push_back({address, std::move(socket), {}});
     }
@@ -347,36 +349,36 @@
     return state_->stale;
 }
 
-asio::awaitable<std::optional<log_chunk>> record_link::ask(records_query query)
+asio::awaitable<std::optional<log_chunk>> record_link::fetch(records_query query)
 {
     // Answers that don't help come at once, so there is time to ask the next relay.
     std::optional<wire::records_answer> older;
     for (std::size_t place = 0; place < state_->relays.size(); ++place)
     {
         auto& relay = state_->relays[place];
-        if (boot_clock::now() < relay.shunned)
+        if (boot_clock::now() < relay.avoided_until)
         {
             continue;
         }
         auto const address = relay.address;
-        auto       answer = co_await state_->ask(relay, query);
+        auto       answer = co_await state_->fetch(relay, query);
         if (!answer)
         {
-            state_->shun_silent(address);
+            state_->avoid_silent(address);
             break;
         }
         millis const age{answer->age_ms()};
-        state_->stale = age > records_query{}.oldest;
+        state_->stale = age > records_query{}.max_age;
         if (state_->stale)
         {
-            state_->shun_stale(address);
+            state_->avoid_stale(address);
         }
-        else if (answer->known() && age <= query.oldest)
+        else if (answer->known() && age <= query.max_age)
         {
-            state_->trust(address);
+            state_->reset_backoff(address);
             co_return chunk_of(*answer);
         }
-        else if (answer->known() && query.or_older)
+        else if (answer->known() && query.accept_older)
         {
             older = std::move(answer);
         }
@@ -388,21 +390,22 @@
     co_return std::nullopt;
 }
 
-void record_link::absorb(std::string const& topic, log_chunk const& chunk,
-                         boot_clock::time_point as_of)
+void record_link::merge(std::string const& topic, log_chunk const& chunk,
+                        boot_clock::time_point as_of)
 {
     if (chunk.relayed && !state_->serves)
     {
         return;
     }
-    auto const mirror = state_->mirrors.try_emplace(topic, state_->news_of(topic)).first;
-    mirror->second.absorb(chunk, as_of);
-    state_->answer_waiting();
+    auto const mirror =
+        state_->mirrors.try_emplace(topic, state_->make_filter(topic)).first;
+    mirror->second.merge(chunk, as_of);
+    state_->reply_to_waiting();
 }
 
 void record_link::tick()
 {
-    state_->answer_waiting();
+    state_->reply_to_waiting();
 }
 
 } // namespace marigoldcrank
--- a/src/serving/record_link.hpp
+++ b/src/serving/record_link.hpp
@@ -33,11 +33,11 @@
 {
     std::string   topic;
     std::uint64_t from = 0;
-    millis        wait{0};      // longest time for a record that tells something
-    millis        oldest{2500}; // 2500 ms; an older answer isn't taken. Two pauses of 900
-                                //      ms between reads of usage are usual, one at the
-                                //      fleet's reader
-    bool or_older = false;      // an older one, up to 2500 ms, is if nobody knows better
+    millis        wait{0};     // longest time for a record that tells something
+    millis max_age{2500};      // 2500 ms; an older answer isn't taken. Two pauses of 900
+                               //      ms between reads of usage are usual, one at the
+                               //      fleet's reader
+    bool accept_older = false; // an older one, up to 2500 ms, is if nobody knows better
 };
 
 /// Answers what this VM has read from the store, and asks other VMs for theirs.
@@ -46,9 +46,10 @@
 public:
     /// `own`: "IP:PORT"; `news_of` makes the judge of a topic's records. Throws
     /// zmq::error_t if the address can't be bound.
-    record_link(boost::asio::io_context& loop, zmq::context_t& context,
-                std::string const&                                     own,
-                std::function<topic_mirror::judge(std::string const&)> news_of);
+    record_link(
+        boost::asio::io_context& loop, zmq::context_t& context,
+        std::string const&                                             bind_address,
+        std::function<topic_mirror::change_filter(std::string const&)> make_filter);
     ~record_link();
     record_link(record_link const&) = delete;
     record_link& operator=(record_link const&) = delete;
@@ -77,11 +78,11 @@
     /// The answer of the first relay that isn't left alone and holds the records, fresh
     /// enough; nothing if the store is to be read, also after one relay has been silent:
     /// waiting for several would let knowledge get old.
-    boost::asio::awaitable<std::optional<log_chunk>> ask(records_query query);
+    boost::asio::awaitable<std::optional<log_chunk>> fetch(records_query query);
 
     /// This VM has read a chunk, which holds all records up to the time `as_of`.
-    void absorb(std::string const& topic, log_chunk const& chunk,
-                boot_clock::time_point as_of);
+    void merge(std::string const& topic, log_chunk const& chunk,
+               boot_clock::time_point as_of);
 
     /// Answers those who have waited long enough; called a few times a second.
     void tick();
--- a/src/serving/shared_store.hpp
+++ b/src/serving/shared_store.hpp
@@ -24,7 +24,7 @@
     explicit shared_store(Store& store) : store_(store) {}
 
     /// Without a link every read goes to the store. The link must outlive all calls.
-    void share(record_link* link)
+    void set_link(record_link* link)
     {
         link_ = link;
     }
@@ -35,19 +35,19 @@
     {
         if (direct)
         {
-            direct_.insert(topic);
+            direct_topics_.insert(topic);
         }
         else
         {
-            direct_.erase(topic);
+            direct_topics_.erase(topic);
         }
     }
 
     /// Answers of other VMs for `topic` count only up to this age, at a VM that passes
     /// them on.
-    void limit_age(std::string const& topic, millis oldest)
+    void limit_age(std::string const& topic, millis max_age)
     {
-        oldest_[topic] = oldest;
+        max_ages_[topic] = max_age;
     }
 
     /// Whether other VMs ask this one. Load answered: the VM that reads for hundreds of
@@ -89,7 +89,7 @@
             // store for themselves.
             log_chunk const own{
                 .from = *offset, .end = *offset + records.size(), .records = records};
-            link_->absorb(topic, own, sent);
+            link_->merge(topic, own, sent);
         }
         co_return result;
     }
@@ -105,18 +105,18 @@
     read(unsigned lane, std::string const& topic, std::uint64_t from, millis wait)
     {
         auto const sent = boot_clock::now();
-        if (asks_relays(topic))
+        if (reads_via_relays(topic))
         {
-            wait = std::min(wait, relayed_wait);
+            wait = std::min(wait, max_relay_wait);
             records_query query{topic, from, wait};
-            auto const    limit = oldest_.find(topic);
-            query.oldest = limit == oldest_.end() ? query.oldest : limit->second;
-            query.or_older = !passes_on_;
-            auto answer = co_await link_->ask(std::move(query));
+            auto const    limit = max_ages_.find(topic);
+            query.max_age = limit == max_ages_.end() ? query.max_age : limit->second;
+            query.accept_older = !passes_on_;
+            auto answer = co_await link_->fetch(std::move(query));
             if (answer)
             {
                 ++tally_.of(topic).relayed;
-                link_->absorb(topic, *answer, sent - answer->age);
+                link_->merge(topic, *answer, sent - answer->age);
                 co_return std::move(*answer);
             }
         }
@@ -128,13 +128,13 @@
     //       this wait, the same of its relay and 600 ms of the fleet's reader: 2 s, of
     //       the 4 s after which keys aren't believed any more. The rest is for a silent
     //       relay and a read of the store in its place
-    static constexpr millis relayed_wait{700};
+    static constexpr millis max_relay_wait{700};
 
-    bool asks_relays(std::string const& topic) const
+    bool reads_via_relays(std::string const& topic) const
     {
-        bool const own = !relays_used_ && oldest_.count(topic) > 0;
-        return link_ != nullptr && link_->has_relays() && direct_.count(topic) == 0 &&
-               !own;
+        bool const own = !relays_used_ && max_ages_.count(topic) > 0;
+        return link_ != nullptr && link_->has_relays() &&
+               direct_topics_.count(topic) == 0 && !own;
     }
 
     boost::asio::awaitable<store_result<log_chunk>>
@@ -142,14 +142,14 @@
     {
         auto const sent = boot_clock::now();
         auto&      gate = gates_.try_emplace(topic, patient_retries).first->second;
-        bool const lost = asks_relays(topic) && link_->relays_lost_store();
+        bool const lost = reads_via_relays(topic) && link_->relays_lost_store();
         if (gate.holds_back(lost, sent))
         {
             co_return store_failure{store_fault::unreachable, 0};
         }
         auto  result = co_await store_.read(lane, topic, from, wait);
         auto* chunk = std::get_if<log_chunk>(&result);
-        note(gate, result);
+        update_gate(gate, result);
         ++tally_.of(topic).reads;
         tally_.of(topic).failed += chunk == nullptr ? 1 : 0;
         if (chunk != nullptr)
@@ -161,13 +161,13 @@
         }
         if (link_ != nullptr && chunk != nullptr)
         {
-            link_->absorb(topic, *chunk, sent - chunk->age);
+            link_->merge(topic, *chunk, sent - chunk->age);
         }
         co_return result;
     }
 
     /// History that is gone is an answer.
-    static void note(retry_gate& gate, store_result<log_chunk> const& result)
+    static void update_gate(retry_gate& gate, store_result<log_chunk> const& result)
     {
         auto const* failure = std::get_if<store_failure>(&result);
         if (failure != nullptr && failure->fault != store_fault::trimmed)
@@ -182,8 +182,8 @@
 
     Store&                            store_;
     record_link*                      link_ = nullptr;
-    std::set<std::string>             direct_; // topics
-    std::map<std::string, millis>     oldest_; // by topic
+    std::set<std::string>             direct_topics_; // topics
+    std::map<std::string, millis>     max_ages_;      // by topic
     bool                              passes_on_ = false;
     bool                              relays_used_ = false;
     std::map<std::string, retry_gate> gates_; // by topic; for reads beside the relays
--- a/src/serving/status_server.cpp
+++ b/src/serving/status_server.cpp
@@ -24,9 +24,10 @@
 namespace
 {
 
-constexpr millis idle_time{30000}; // 30000  ms; kept connections without a question
+constexpr millis idle_timeout{30000}; // 30000  ms; kept connections without a question
 
-asio::awaitable<void> serve_one(tcp::socket socket, std::function<status_answer()> answer)
+asio::awaitable<void> serve_connection(tcp::socket                      socket,
+                                       std::function<status_response()> respond)
 {
     boost::beast::tcp_stream  stream{std::move(socket)};
     boost::beast::flat_buffer buffer;
@@ -35,14 +36,14 @@
     while (keep && !error)
     {
         http::request<http::string_body> request;
-        stream.expires_after(idle_time);
+        stream.expires_after(idle_timeout);
         co_await http::async_read(stream, buffer, request,
                                   asio::redirect_error(asio::use_awaitable, error));
         if (error)
         {
             break;
         }
-        auto                              value = answer();
+        auto                              value = respond();
         http::response<http::string_body> response;
         response.version(11);
         response.result(value.status);
@@ -59,12 +60,13 @@
 } // namespace
 
 void serve_status(asio::io_context& loop, socket_address const& address,
-                  std::function<status_answer()> answer)
+                  std::function<status_response()> respond)
 {
-    listen_on(
-        loop, address,
-        [&loop, answer = std::move(answer)](tcp::socket socket)
-        { asio::co_spawn(loop, serve_one(std::move(socket), answer), asio::detached); });
+    listen_on(loop, address,
+              [&loop, respond = std::move(respond)](tcp::socket socket) {
+                  asio::co_spawn(loop, serve_connection(std::move(socket), respond),
+                                 asio::detached);
+              });
 }
 
 } // namespace marigoldcrank
--- a/src/serving/status_server.hpp
+++ b/src/serving/status_server.hpp
@@ -14,7 +14,7 @@
 namespace marigoldcrank
 {
 
-struct status_answer
+struct status_response
 {
     unsigned    status = 200;
     std::string text;
@@ -23,7 +23,7 @@
 /// Accepts on `address` for as long as the loop runs; every GET gets `answer()`. Throws
 /// boost::system::system_error if the address can't be listened on.
 void serve_status(boost::asio::io_context& loop, socket_address const& address,
-                  std::function<status_answer()> answer);
+                  std::function<status_response()> respond);
 
 } // namespace marigoldcrank
 
--- a/src/serving/store_followers.hpp
+++ b/src/serving/store_followers.hpp
@@ -54,25 +54,25 @@
     //       A leaving server gets no new work within two seconds of its notice.
     millis servers_pause{900};
     // 150 to 800  ms; pause after a failed read, doubled each time
-    millis first_retry{150};
-    millis longest_retry{800};
+    millis min_retry{150};
+    millis max_retry{800};
 
     bool operator==(follow_options const&) const = default;
 };
 
 /// Pause before the next try of a failing read.
-class retry_pause
+class retry_backoff
 {
 public:
-    explicit retry_pause(follow_options const& options)
-        : options_(options), next_(options.first_retry)
+    explicit retry_backoff(follow_options const& options)
+        : options_(options), next_(options.min_retry)
     {
     }
 
-    millis take(std::uint64_t ticket)
+    millis next(std::uint64_t ticket)
     {
         auto const pause = next_;
-        next_ = std::min(next_ * 2, options_.longest_retry);
+        next_ = std::min(next_ * 2, options_.max_retry);
         // Spread over half to whole, so that VMs that failed together don't return
         // together.
         return pause / 2 +
@@ -82,7 +82,7 @@
 
     void reset()
     {
-        next_ = options_.first_retry;
+        next_ = options_.min_retry;
     }
 
 private:
@@ -95,8 +95,8 @@
 {
 public:
     rules_follower(entry_state& state, Store& store, follow_options options = {})
-        : state_(state), store_(store), options_(options), pause_(options),
-          known_(state.settings.first_start)
+        : state_(state), store_(store), options_(options), backoff_(options),
+          synced_(state.settings.first_start)
     {
     }
 
@@ -109,13 +109,13 @@
             if (!failure)
             {
                 state_.view.read_sent = std::max(state_.view.read_sent, sent - age_);
-                note_reachable(true, store_fault::unreachable);
-                pause_.reset();
+                log_reachability(true, store_fault::unreachable);
+                backoff_.reset();
                 continue;
             }
-            known_ = known_ && failure->fault != store_fault::trimmed;
-            note_reachable(false, failure->fault);
-            co_await loop_sleep(pause_.take(state_.ticket()));
+            synced_ = synced_ && failure->fault != store_fault::trimmed;
+            log_reachability(false, failure->fault);
+            co_await loop_sleep(backoff_.next(state_.ticket()));
         }
     }
 
@@ -124,7 +124,7 @@
 
     boost::asio::awaitable<std::optional<store_failure>> next_read()
     {
-        return known_ ? read_on() : read_newest();
+        return synced_ ? read_updates() : read_newest();
     }
 
     boost::asio::awaitable<std::optional<store_failure>> read_newest()
@@ -141,23 +141,23 @@
             auto const& page = std::get<keyed_page>(result);
             for (auto const& record : page.records)
             {
-                take(record);
+                apply(record);
             }
             next_ =
                 after.empty() ? page.end : next_; // later pages may miss changes to it
             if (!page.more || page.records.empty())
             {
-                known_ = true;
+                synced_ = true;
                 co_return std::nullopt;
             }
             after = page.records.back().key;
         }
     }
 
-    boost::asio::awaitable<std::optional<store_failure>> read_on()
+    boost::asio::awaitable<std::optional<store_failure>> read_updates()
     {
-        bool const asked = state_.relays && state_.relays_used();
-        auto const longest = asked ? options_.relay_wait : options_.rules_wait;
+        bool const answers_peers = state_.serves_peers && state_.relays_used();
+        auto const longest = answers_peers ? options_.relay_wait : options_.rules_wait;
         auto const wait = lost_ ? millis{0} : longest;
         auto       result = co_await store_.read(lane, Codec::rules_topic(), next_, wait);
         if (auto const* failure = std::get_if<store_failure>(&result))
@@ -170,7 +170,7 @@
         {
             if (auto const record = Codec::keyed(chunk.records[at], chunk.from + at))
             {
-                take(*record);
+                apply(*record);
             }
         }
         next_ = chunk.from + chunk.records.size();
@@ -178,7 +178,7 @@
     }
 
     /// A version only ever gives way to a newer one, whatever order records are read in.
-    void take(keyed_record const& record)
+    void apply(keyed_record const& record)
     {
         if (record.key != Codec::rules_key() || !record.value)
         {
@@ -225,7 +225,7 @@
         }
     }
 
-    void note_reachable(bool reachable, store_fault fault)
+    void log_reachability(bool reachable, store_fault fault)
     {
         if (lost_ == !reachable)
         {
@@ -243,10 +243,10 @@
     entry_state&   state_;
     Store&         store_;
     follow_options options_;
-    retry_pause    pause_;
+    retry_backoff  backoff_;
     std::uint64_t  next_ = 0;
     millis         age_{0}; // of the newest answer when it was asked for
-    bool           known_;  // `next_` continues what has been read
+    bool           synced_; // `next_` continues what has been read
     bool           lost_ = false;
 };
 
@@ -255,8 +255,8 @@
 {
 public:
     servers_follower(entry_state& state, Store& store, follow_options options = {})
-        : state_(state), store_(store), options_(options), pause_(options),
-          known_(state.settings.first_start)
+        : state_(state), store_(store), options_(options), backoff_(options),
+          synced_(state.settings.first_start)
     {
     }
 
@@ -268,13 +268,13 @@
             auto const now = boot_clock::now();
             if (failure)
             {
-                known_ = known_ && failure->fault != store_fault::trimmed;
+                synced_ = synced_ && failure->fault != store_fault::trimmed;
                 state_.servers.store_lost();
-                co_await loop_sleep(pause_.take(state_.ticket()));
+                co_await loop_sleep(backoff_.next(state_.ticket()));
                 continue;
             }
             state_.servers.store_answered(now);
-            pause_.reset();
+            backoff_.reset();
             for (auto const& id : state_.servers.expire(now))
             {
                 forget(id, "lapsed");
@@ -291,7 +291,7 @@
 
     boost::asio::awaitable<std::optional<store_failure>> next_read()
     {
-        return known_ ? read_on() : read_newest();
+        return synced_ ? read_updates() : read_newest();
     }
 
     boost::asio::awaitable<std::optional<store_failure>> read_newest()
@@ -321,7 +321,7 @@
             }
             after = page.records.back().key;
         }
-        known_ = true;
+        synced_ = true;
         // The listing is believed only now that the store is known to be back.
         state_.servers.store_answered(boot_clock::now());
         state_.servers.replace(all, boot_clock::now());
@@ -332,11 +332,11 @@
         co_return std::nullopt;
     }
 
-    boost::asio::awaitable<std::optional<store_failure>> read_on()
+    boost::asio::awaitable<std::optional<store_failure>> read_updates()
     {
-        auto result =
-            co_await store_.read(lane, Codec::servers_topic(), next_,
-                                 state_.relayed ? options_.servers_pause : millis{0});
+        auto result = co_await store_.read(lane, Codec::servers_topic(), next_,
+                                           state_.reads_via_peers ? options_.servers_pause
+                                                                  : millis{0});
         if (auto const* failure = std::get_if<store_failure>(&result))
         {
             co_return *failure;
@@ -348,7 +348,7 @@
         {
             if (auto const record = Codec::keyed(chunk.records[at], chunk.from + at))
             {
-                take(*record);
+                apply(*record);
             }
         }
         next_ = chunk.from + chunk.records.size();
@@ -372,7 +372,7 @@
         }
     }
 
-    void take(keyed_record const& record)
+    void apply(keyed_record const& record)
     {
         auto const server =
             record.value ? Codec::server(record.key, *record.value) : std::nullopt;
@@ -413,9 +413,9 @@
     entry_state&   state_;
     Store&         store_;
     follow_options options_;
-    retry_pause    pause_;
+    retry_backoff  backoff_;
     std::uint64_t  next_ = 0;
-    bool           known_; // `next_` continues what has been read
+    bool           synced_; // `next_` continues what has been read
     bool           relayed_ = false;
 };
 
--- a/src/serving/topic_mirror.cpp
+++ b/src/serving/topic_mirror.cpp
@@ -6,7 +6,7 @@
 namespace marigoldcrank
 {
 
-void topic_mirror::absorb(log_chunk const& chunk, boot_clock::time_point as_of)
+void topic_mirror::merge(log_chunk const& chunk, boot_clock::time_point as_of)
 {
     bool const continues = as_of_ != boot_clock::time_point{} && chunk.from >= first_ &&
                            chunk.from <= next();
@@ -15,16 +15,16 @@
         records_.clear();
         bytes_ = 0;
         first_ = chunk.from;
-        newest_ = chunk.from;
+        changes_end_ = chunk.from;
     }
-    auto const known = static_cast<std::size_t>(next() - chunk.from);
-    for (auto at = known; at < chunk.records.size(); ++at)
+    auto const skipped = static_cast<std::size_t>(next() - chunk.from);
+    for (auto at = skipped; at < chunk.records.size(); ++at)
     {
         auto const& record = chunk.records[at];
-        bool const  tells = !news_ || news_(record);
-        records_.push_back(tells ? record : std::string{});
+        bool const  is_change = !is_change_ || is_change_(record);
+        records_.push_back(is_change ? record : std::string{});
         bytes_ += records_.back().size();
-        newest_ = tells ? next() : newest_;
+        changes_end_ = is_change ? next() : changes_end_;
     }
     end_ = std::max(end_, chunk.end);
     as_of_ = std::max(as_of_, as_of);
@@ -43,14 +43,14 @@
     return chunk;
 }
 
-bool topic_mirror::has_news(std::uint64_t from) const
+bool topic_mirror::has_changes(std::uint64_t from) const
 {
-    return from < newest_;
+    return from < changes_end_;
 }
 
 void topic_mirror::trim()
 {
-    while (records_.size() > options_.most_records || bytes_ > options_.most_bytes)
+    while (records_.size() > options_.max_records || bytes_ > options_.max_bytes)
     {
         bytes_ -= records_.front().size();
         records_.pop_front();
--- a/src/serving/topic_mirror.hpp
+++ b/src/serving/topic_mirror.hpp
@@ -20,8 +20,8 @@
     // 256 KiB and 4000 records; a VM that asks is seconds behind at most, in which a
     // fleet of 200 servers writes a few hundred records. One further behind reads the
     // store
-    std::size_t most_bytes = std::size_t{256} * 1024;
-    std::size_t most_records = 4000;
+    std::size_t max_bytes = std::size_t{256} * 1024;
+    std::size_t max_records = 4000;
 
     bool operator==(topic_mirror_options const&) const = default;
 };
@@ -32,16 +32,16 @@
 {
 public:
     /// Whether a record tells something that earlier ones haven't.
-    using judge = std::function<bool(std::string const& record)>;
+    using change_filter = std::function<bool(std::string const& record)>;
 
-    explicit topic_mirror(judge news = {}, topic_mirror_options options = {})
-        : news_(std::move(news)), options_(options)
+    explicit topic_mirror(change_filter is_change = {}, topic_mirror_options options = {})
+        : is_change_(std::move(is_change)), options_(options)
     {
     }
 
     /// Takes a chunk that holds all records up to the time `as_of`. One that doesn't
     /// continue what is held replaces it.
-    void absorb(log_chunk const& chunk, boot_clock::time_point as_of);
+    void merge(log_chunk const& chunk, boot_clock::time_point as_of);
 
     /// Whether everything from `from` on is held.
     bool holds(std::uint64_t from) const
@@ -53,7 +53,7 @@
     std::optional<log_chunk> read(std::uint64_t from) const;
 
     /// Whether a reader at `from` has something to learn.
-    bool has_news(std::uint64_t from) const;
+    bool has_changes(std::uint64_t from) const;
 
     /// How old this knowledge is.
     boot_clock::duration age(boot_clock::time_point now) const
@@ -69,11 +69,11 @@
 
     void trim();
 
-    judge                   news_;
-    topic_mirror_options    options_;
-    std::uint64_t           first_ = 0;
-    std::uint64_t           end_ = 0;
-    std::uint64_t           newest_ = 0; // one beyond the last record that told something
+    change_filter        is_change_;
+    topic_mirror_options options_;
+    std::uint64_t        first_ = 0;
+    std::uint64_t        end_ = 0;
+    std::uint64_t changes_end_ = 0; // one beyond the last record that told something
     std::deque<std::string> records_;
     std::size_t             bytes_ = 0;
     boot_clock::time_point  as_of_{};
--- a/src/serving/watched_socket.cpp
+++ b/src/serving/watched_socket.cpp
@@ -30,7 +30,7 @@
     readable_.assign(socket_.get(zmq::sockopt::fd));
     if (on_message_)
     {
-        arm();
+        wait_readable();
     }
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-void watched_socket::arm()
+void watched_socket::wait_readable()
 {
     readable_.async_wait(asio::posix::stream_descriptor::wait_read,
                          [this](boost::system::error_code const& error)
@@ -64,7 +64,7 @@
                              if (!error)
                              {
                                  drain();
-                                 arm();
+                                 wait_readable();
                              }
                          });
 }
--- a/src/serving/watched_socket.hpp
+++ b/src/serving/watched_socket.hpp
@@ -41,7 +41,7 @@
     void drain();
 
 private:
-    void arm();
+    void wait_readable();
 
     zmq::socket_t                         socket_;
     boost::asio::posix::stream_descriptor readable_; // borrowed from the socket
--- a/tests/platform/relays_test.cpp
+++ b/tests/platform/relays_test.cpp
@@ -30,13 +30,13 @@
     }
 
     /// What the member is told; nothing if it has to read the store.
-    std::optional<log_chunk> ask(records_query query)
+    std::optional<log_chunk> fetch(records_query query)
     {
         std::optional<log_chunk> answer;
         bool                     done = false;
         auto                     asking = [&]() -> boost::asio::awaitable<void>
         {
-            answer = co_await member.ask(query);
+            answer = co_await member.fetch(query);
             done = true;
         };
         boost::asio::co_spawn(loop, asking(), boost::asio::detached);
@@ -51,7 +51,7 @@
         return answer;
     }
 
-    static topic_mirror::judge all_news(std::string const&)
+    static topic_mirror::change_filter keep_all(std::string const&)
     {
         return {};
     }
@@ -61,8 +61,8 @@
     std::string             own_address = "127.0.0.1:" + std::to_string(ports.next());
     boost::asio::io_context loop;
     zmq::context_t          context{1};
-    record_link             relay{loop, context, relay_address, all_news};
-    record_link             member{loop, context, own_address, all_news};
+    record_link             relay{loop, context, relay_address, keep_all};
+    record_link             member{loop, context, own_address, keep_all};
 };
 
 log_chunk one_record()
@@ -73,8 +73,8 @@
 TEST(record_link, relay_passes_on_what_it_has_read)
 {
     linked_vms vms;
-    vms.relay.absorb("rules", one_record(), boot_clock::now() - millis{300});
-    auto const answer = vms.ask({"rules", 7, millis{500}});
+    vms.relay.merge("rules", one_record(), boot_clock::now() - millis{300});
+    auto const answer = vms.fetch({"rules", 7, millis{500}});
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->records, std::vector<std::string>{"version 2"});
     EXPECT_TRUE(answer->relayed);
@@ -86,8 +86,8 @@
 TEST(record_link, answer_that_is_too_old_is_not_taken)
 {
     linked_vms vms;
-    vms.relay.absorb("rules", one_record(), boot_clock::now() - millis{2500});
-    EXPECT_FALSE(vms.ask({"rules", 8, millis{100}}));
+    vms.relay.merge("rules", one_record(), boot_clock::now() - millis{2500});
+    EXPECT_FALSE(vms.fetch({"rules", 8, millis{100}}));
     EXPECT_FALSE(vms.member.relayed()); // the relay is left alone for a while
 }
 
@@ -97,10 +97,10 @@
 {
     linked_vms    vms;
     records_query query{"servers", 8, millis{2000}};
-    query.oldest = millis{1300};
-    vms.relay.absorb("servers", one_record(), boot_clock::now() - millis{900});
+    query.max_age = millis{1300};
+    vms.relay.merge("servers", one_record(), boot_clock::now() - millis{900});
     auto const began = boot_clock::now();
-    EXPECT_FALSE(vms.ask(query)); // it waited for news until its knowledge was too old
+    EXPECT_FALSE(vms.fetch(query)); // it waited for news until its knowledge was too old
     EXPECT_LT(boot_clock::now() - began, millis{1000});
     EXPECT_TRUE(vms.member.relayed()); // what it knows of other topics is fresh enough
 }
@@ -111,14 +111,14 @@
 {
     linked_vms  vms;
     auto const  address = "127.0.0.1:" + std::to_string(vms.ports.next());
-    record_link second{vms.loop, vms.context, address, linked_vms::all_news};
+    record_link second{vms.loop, vms.context, address, linked_vms::keep_all};
     vms.member.follow({vms.relay_address, address});
-    vms.relay.absorb("servers", {.from = 7, .end = 7}, boot_clock::now() - millis{1500});
-    second.absorb("servers", one_record(), boot_clock::now());
+    vms.relay.merge("servers", {.from = 7, .end = 7}, boot_clock::now() - millis{1500});
+    second.merge("servers", one_record(), boot_clock::now());
     records_query query{"servers", 7, millis{300}};
-    query.oldest = millis{1300};
-    query.or_older = true;
-    auto const answer = vms.ask(query);
+    query.max_age = millis{1300};
+    query.accept_older = true;
+    auto const answer = vms.fetch(query);
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->records.size(), 1U);
 }
@@ -127,12 +127,12 @@
 TEST(record_link, older_answer_is_taken_where_nobody_knows_better)
 {
     linked_vms vms;
-    vms.relay.absorb("servers", one_record(), boot_clock::now() - millis{1500});
+    vms.relay.merge("servers", one_record(), boot_clock::now() - millis{1500});
     records_query query{"servers", 7, millis{300}};
-    query.oldest = millis{1300};
-    EXPECT_FALSE(vms.ask(query));
-    query.or_older = true;
-    EXPECT_TRUE(vms.ask(query));
+    query.max_age = millis{1300};
+    EXPECT_FALSE(vms.fetch(query));
+    query.accept_older = true;
+    EXPECT_TRUE(vms.fetch(query));
 }
 
 // A question that waits for news at one VM after the other gets an answer that is as old
@@ -140,8 +140,8 @@
 TEST(record_link, the_time_a_question_waited_makes_its_answer_no_older)
 {
     linked_vms vms;
-    vms.relay.absorb("rules", {.from = 8, .end = 8}, boot_clock::now());
-    auto const answer = vms.ask({"rules", 8, millis{600}});
+    vms.relay.merge("rules", {.from = 8, .end = 8}, boot_clock::now());
+    auto const answer = vms.fetch({"rules", 8, millis{600}});
     ASSERT_TRUE(answer);
     EXPECT_LE(answer->age, millis{100}); // counted from the question, 600 ms before
 }
@@ -153,11 +153,11 @@
     linked_vms vms;
     auto       heard = one_record();
     heard.relayed = true;
-    vms.relay.absorb("rules", heard, boot_clock::now());
-    EXPECT_FALSE(vms.ask({"rules", 7, millis{50}}));
+    vms.relay.merge("rules", heard, boot_clock::now());
+    EXPECT_FALSE(vms.fetch({"rules", 7, millis{50}}));
     vms.relay.serve(true);
-    vms.relay.absorb("rules", heard, boot_clock::now());
-    EXPECT_TRUE(vms.ask({"rules", 7, millis{50}}));
+    vms.relay.merge("rules", heard, boot_clock::now());
+    EXPECT_TRUE(vms.fetch({"rules", 7, millis{50}}));
 }
 
 // A relay that has just started doesn't hold the records from before. Its members must
@@ -165,8 +165,8 @@
 TEST(record_link, records_that_the_relay_does_not_hold_come_from_the_store)
 {
     linked_vms vms;
-    vms.relay.absorb("rules", one_record(), boot_clock::now());
-    EXPECT_FALSE(vms.ask({"rules", 3, millis{500}}));
+    vms.relay.merge("rules", one_record(), boot_clock::now());
+    EXPECT_FALSE(vms.fetch({"rules", 3, millis{500}}));
     EXPECT_TRUE(vms.member.relayed()); // it may be asked for what comes next
 }
 
@@ -176,7 +176,7 @@
     linked_vms vms;
     vms.member.follow({"127.0.0.1:1"});
     auto const began = boot_clock::now();
-    EXPECT_FALSE(vms.ask({"rules", 7, millis{200}}));
+    EXPECT_FALSE(vms.fetch({"rules", 7, millis{200}}));
     EXPECT_LT(boot_clock::now() - began, millis{2000});
     EXPECT_FALSE(vms.member.relayed());
 }
@@ -184,13 +184,13 @@
 TEST(record_link, news_ends_the_wait)
 {
     linked_vms vms;
-    vms.relay.absorb("rules", {.from = 0, .end = 7}, boot_clock::now());
-    vms.relay.absorb("rules", {.from = 7, .end = 7}, boot_clock::now());
+    vms.relay.merge("rules", {.from = 0, .end = 7}, boot_clock::now());
+    vms.relay.merge("rules", {.from = 7, .end = 7}, boot_clock::now());
     boost::asio::steady_timer later{vms.loop, millis{200}};
     later.async_wait([&](auto)
-                     { vms.relay.absorb("rules", one_record(), boot_clock::now()); });
+                     { vms.relay.merge("rules", one_record(), boot_clock::now()); });
     auto const began = boot_clock::now();
-    auto const answer = vms.ask({"rules", 7, millis{3000}});
+    auto const answer = vms.fetch({"rules", 7, millis{3000}});
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->records.size(), 1U);
     EXPECT_LT(boot_clock::now() - began, millis{2500});
--- a/tests/unit/fleet_orders_test.cpp
+++ b/tests/unit/fleet_orders_test.cpp
@@ -69,7 +69,7 @@
     void act()
     {
         boost::asio::io_context loop;
-        boost::asio::co_spawn(loop, fleet.act(), boost::asio::detached);
+        boost::asio::co_spawn(loop, fleet.send_orders(), boost::asio::detached);
         loop.run();
     }
 
--- a/tests/unit/topic_mirror_test.cpp
+++ b/tests/unit/topic_mirror_test.cpp
@@ -22,12 +22,12 @@
 TEST(topic_mirror, unbroken_reads_are_given_on)
 {
     topic_mirror mirror;
-    mirror.absorb(chunk(10, {"a", "b"}), at_ms(1));
-    mirror.absorb(chunk(11, {"b", "c"}), at_ms(2));
+    mirror.merge(chunk(10, {"a", "b"}), at_ms(1));
+    mirror.merge(chunk(11, {"b", "c"}), at_ms(2));
     EXPECT_EQ(mirror.read(10)->records, (std::vector<std::string>{"a", "b", "c"}));
     EXPECT_EQ(mirror.read(12)->records, std::vector<std::string>{"c"});
     EXPECT_TRUE(mirror.read(13)->records.empty());
-    EXPECT_FALSE(mirror.has_news(13));
+    EXPECT_FALSE(mirror.has_changes(13));
     EXPECT_FALSE(mirror.read(9));
     EXPECT_FALSE(mirror.read(14));
 }
@@ -37,8 +37,8 @@
 TEST(topic_mirror, reader_from_before_a_gap_is_sent_to_the_store)
 {
     topic_mirror mirror;
-    mirror.absorb(chunk(0, {"a"}), at_ms(1));
-    mirror.absorb(chunk(5, {"f"}), at_ms(2));
+    mirror.merge(chunk(0, {"a"}), at_ms(1));
+    mirror.merge(chunk(5, {"f"}), at_ms(2));
     EXPECT_FALSE(mirror.read(1));
     EXPECT_EQ(mirror.read(5)->records, std::vector<std::string>{"f"});
 }
@@ -48,9 +48,9 @@
 TEST(topic_mirror, age_counts_from_the_sending_of_the_newest_answered_read)
 {
     topic_mirror mirror;
-    mirror.absorb(chunk(0, {}), at_ms(1000));
-    mirror.absorb(chunk(0, {}), at_ms(1700));
-    mirror.absorb(chunk(0, {}), at_ms(900));
+    mirror.merge(chunk(0, {}), at_ms(1000));
+    mirror.merge(chunk(0, {}), at_ms(1700));
+    mirror.merge(chunk(0, {}), at_ms(900));
     EXPECT_EQ(mirror.age(at_ms(2000)), millis{300});
 }
 
@@ -60,19 +60,19 @@
                         {
                             return record != "alive";
                         }};
-    mirror.absorb(chunk(0, {"alive", "leaves", "alive"}), at_ms(1));
+    mirror.merge(chunk(0, {"alive", "leaves", "alive"}), at_ms(1));
     EXPECT_EQ(mirror.read(0)->records, (std::vector<std::string>{"", "leaves", ""}));
-    EXPECT_TRUE(mirror.has_news(1));
-    EXPECT_FALSE(mirror.has_news(2));
+    EXPECT_TRUE(mirror.has_changes(1));
+    EXPECT_FALSE(mirror.has_changes(2));
 }
 
 TEST(topic_mirror, oldest_records_give_way)
 {
-    topic_mirror mirror{{}, {.most_bytes = 100, .most_records = 3}};
-    mirror.absorb(chunk(0, {"a", "b", "c", "d", "e"}), at_ms(1));
+    topic_mirror mirror{{}, {.max_bytes = 100, .max_records = 3}};
+    mirror.merge(chunk(0, {"a", "b", "c", "d", "e"}), at_ms(1));
     EXPECT_FALSE(mirror.read(1));
     EXPECT_EQ(mirror.read(2)->records.size(), 3U);
-    mirror.absorb(chunk(5, {std::string(80, 'x'), std::string(60, 'y')}), at_ms(2));
+    mirror.merge(chunk(5, {std::string(80, 'x'), std::string(60, 'y')}), at_ms(2));
     EXPECT_EQ(mirror.read(6)->records, std::vector<std::string>{std::string(60, 'y')});
 }
 
