--- a/src/serving/digest_link.cpp
+++ b/src/serving/digest_link.cpp
@@ -1,7 +1,7 @@
-// PUB and SUB sockets.
+// Uses one PUB and one SUB socket.
 //
-// A message has two frames: one byte for its scope, by which subscribers choose, and the
-// digest.
+// A message has two frames: one byte for the scope, which is the subscription prefix, and
+// the encoded digest.
 #include "serving/digest_link.hpp"
 
 #include "serving/watched_socket.hpp"
@@ -17,7 +17,7 @@
 namespace
 {
 
-// 4     digests waiting for one peer; older ones are worthless
+// 4     digests queued per peer; older ones are superseded
 constexpr int queue_limit = 4;
 
 std::string scope_prefix(digest_scope scope)
@@ -88,7 +88,7 @@
     work.vms = message.vms();
     for (auto const& entry : message.servers())
     {
-        // The sender names its servers in order.
+        // The sender lists its servers in key order, so inserting at the end is cheap.
         server_load const load{.running = static_cast<std::int64_t>(entry.running()),
                                .unread = static_cast<std::int64_t>(entry.unread())};
         work.loads.insert_or_assign(work.loads.end(), entry.server(), load);
@@ -144,11 +144,11 @@
     {
     }
 
-    /// A message that isn't ours is dropped; the next digest of a peer replaces it
+    /// Drops messages that can't be parsed; the next digest of the peer replaces them
     /// anyway.
     void receive(std::vector<zmq::message_t>& parts) const
     {
-        // Hundreds of entries a message: one block of memory for all of them.
+        // A message has hundreds of entries; the arena allocates them in one block.
         google::protobuf::Arena arena;
         auto&                   message =
             *google::protobuf::Arena::CreateMessage<wire::load_digest>(&arena);
@@ -225,7 +225,7 @@
 {
     auto const bytes = format_digest(digest, extras).SerializeAsString();
     auto&      socket = state_->publisher.socket();
-    // A PUB socket drops for a peer whose queue is full; that is what is wanted.
+    // A PUB socket drops messages for a peer whose queue is full, as intended here.
     static_cast<void>(socket.send(zmq::buffer(scope_prefix(digest.scope)),
                                   zmq::send_flags::dontwait | zmq::send_flags::sndmore));
     static_cast<void>(socket.send(zmq::buffer(bytes), zmq::send_flags::dontwait));
--- a/src/serving/digest_link.hpp
+++ b/src/serving/digest_link.hpp
@@ -1,6 +1,6 @@
-// Load digests between entry VMs over ZeroMQ, on the event loop.
+// Publishes and receives load digests between entry VMs over ZeroMQ, on the event loop.
 //
-// Index: 1 digest_notes, 2 digest_link
+// Index: 1 digest_extras, 2 digest_link
 #ifndef MARIGOLDCRANK_SERVING_DIGEST_LINK_HPP
 #define MARIGOLDCRANK_SERVING_DIGEST_LINK_HPP
 
@@ -25,39 +25,42 @@
 namespace marigoldcrank
 {
 
-/// What a digest tells besides work: nothing of it is summed up by relays.
+/// The parts of a digest besides the load. Relays pass them on or drop them, but never
+/// add them up.
 struct digest_extras
 {
     std::vector<crash_news>       crashes;
-    std::vector<usage_record>     usage; // of the sender
+    std::vector<usage_record>     usage; // the sender's counts
     std::vector<prefix_news>      prefixes;
-    std::map<std::string, millis> avoided; // servers to be left alone, and for how long
-    std::string                   records; // where the sender answers other VMs
-    std::vector<std::string>      heard;   // such VMs that the sender has heard lately
+    std::map<std::string, millis> avoided; // by server: remaining backoff
+    std::string                   records; // address where the sender answers other VMs
+    std::vector<std::string> heard; // such addresses of VMs heard lately by the sender
 };
 
-/// Publishes to whoever subscribes and subscribes to the peers it is told of. Digests are
-/// dropped rather than queued for a peer that doesn't take them: only the newest counts.
+/// Publishes to all subscribers and subscribes to the given peers. Digests for a peer
+/// that does not read them are dropped instead of queued, because only the newest one
+/// counts.
 class digest_link
 {
 public:
-    /// Called on the loop for each digest.
+    /// Called on the loop for each received digest.
     using handler = std::function<void(load_digest digest, digest_extras const& extras)>;
 
-    /// `own`: "IP:PORT". Throws zmq::error_t if the address can't be bound.
+    /// `bind_address`: "IP:PORT". Throws zmq::error_t if the address can't be bound.
     digest_link(boost::asio::io_context& loop, zmq::context_t& context,
                 std::string const& bind_address, handler on_digest);
     ~digest_link();
     digest_link(digest_link const&) = delete;
     digest_link& operator=(digest_link const&) = delete;
 
-    /// Hears digests of these scopes from these peers, and from nobody else.
+    /// Replaces the subscriptions: receives digests of these scopes from these peers
+    /// only.
     void follow(std::set<std::string> const& peers, std::set<digest_scope> const& scopes);
 
     void publish(load_digest const& digest, digest_extras const& extras);
 
-    /// Takes in what has arrived; also called now and then by the owner, since the
-    /// socket's descriptor tells of changes only.
+    /// Handles all digests that have arrived. The owner also calls this regularly, since
+    /// the socket's descriptor signals state changes only, not every message.
     void drain();
 
 private:
--- a/src/serving/duty_times.hpp
+++ b/src/serving/duty_times.hpp
@@ -1,4 +1,4 @@
-// Times of the duties, and the right to call under the lease.
+// Timings of the duties, and the authority to act under the lease.
 //
 // Index: 1 duty_times, 2 duty_authority
 #ifndef MARIGOLDCRANK_SERVING_DUTY_TIMES_HPP
@@ -14,44 +14,55 @@
 
 struct duty_times
 {
-    millis renew{900}; // 900   ms; three renewals fit into a lease
-    millis poll{1500}; // 1500  ms; between looks of a VM that doesn't hold the lease
-    millis poll_silent_holder{400}; // 400 ms; the same while the holder is silent
-    millis relay_poll{
-        900}; // 900   ms; longest wait for news of a VM that others ask: they
-              //       add two waits of their own, and answers over 2.5 s old
-              //       are taken for a lost store
-    millis relayed_usage_poll{
-        600}; // 600  ms; between looks at usage through another VM; it and
-              //      the reader's pause must stay below those 2.5 s
-    millis startup_wait{
-        500}; // 500   ms; until VMs that start all at once have told of themselves
-    millis margin{400};      // 400   ms; drift of clocks and packets in flight
-    millis usage_delay{600}; // 600  ms after a window's end: its last calls are counted
-    millis member_usage_delay{
-        2500}; // 2500 ms; the same for a VM whose relay hands over for it, if it hasn't
-    millis discovery{
-        15000};        // 15000 ms after the start: other VMs are looked for more often
-    millis seal{1500}; // 1500  ms after a window's end, if all VMs have handed over
-    millis seal_timeout{
-        7500}; // 7500 ms after it without those that are missing: the report
-               //      is due 10 s after the end, and may need a second try
-    millis max_seal_age{
-        14000}; // 14000 ms after its end a window is not sealed any more: an
-                //      earlier seal of it could be lost from the history
-    millis min_lease_left{300}; // 300 ms of the lease that must be left to begin a call
-    millis announcement_delay{
-        2200}; // 2200 ms; all VMs have read of a change before its order
-    millis role_change_timeout{
-        7500}; // 7500 ms from its announcement until a changed engine is back
-    millis order_repeat{
-        3000}; // 3000 ms; before an order for servers is given again: those
-               //      of the last one need their time to start
+    // 900   ms; between lease renewals, so that three fit into a lease
+    millis renew{900};
+    // 1500  ms; between reads of the duty log by a VM that doesn't hold the lease
+    millis poll{1500};
+    // 400   ms; the same while the lease holder is silent
+    millis poll_silent_holder{400};
+    // 900   ms; longest wait for new records at a VM that other VMs query. They add two
+    //       waits of their own, and take replies older than 2.5 s for a lost store
+    millis relay_poll{900};
+    // 600   ms; between reads of the usage log through another VM. This and the reader's
+    //       own interval must add up to less than those 2.5 s
+    millis relayed_usage_poll{600};
+    // 500   ms; after a start of the whole fleet, until the VMs have announced themselves
+    millis startup_wait{500};
+    // 400   ms; allowance for clock drift and packets in flight
+    millis margin{400};
+    // 600   ms; after a window's end, until its last calls are counted and the counts are
+    //       appended
+    millis usage_delay{600};
+    // 2500  ms; the same for a VM whose relay appends for it; the VM appends what the
+    //       relay hasn't
+    millis member_usage_delay{2500};
+    // 15000 ms; after the start, the VM looks for other VMs more often
+    millis discovery{15000};
+    // 1500  ms; after a window's end, until it is sealed if all VMs have appended their
+    //       counts
+    millis seal{1500};
+    // 7500  ms; after a window's end, until it is sealed without the missing VMs. The
+    //       report is due 10 s after the end and may need a second attempt
+    millis seal_timeout{7500};
+    // 14000 ms; after a window's end, from when on it is no longer sealed, because an
+    //       earlier seal of it could have been trimmed from the log
+    millis max_seal_age{14000};
+    // 300   ms; remaining lease time that is needed to start a call
+    millis min_lease_left{300};
+    // 2200  ms; from the announcement of a role change to its order; by then all VMs have
+    //       read the announcement
+    millis announcement_delay{2200};
+    // 7500  ms; from the announcement of a role change until the engine is back
+    millis role_change_timeout{7500};
+    // 3000  ms; until an order for servers is repeated, because the servers of the last
+    //       one need time to start
+    millis order_repeat{3000};
 
     bool operator==(duty_times const&) const = default;
 };
 
-/// The right to call now; nothing if less of the lease is left than `slack`.
+/// The authority for a call to the platform: sender, epoch and end of the lease. Nothing
+/// if less than `min_left` of the lease is left.
 inline std::optional<duty_sender> duty_authority(duty_log const&    log,
                                                  std::string const& name, millis min_left)
 {
--- a/src/serving/duty_worker.hpp
+++ b/src/serving/duty_worker.hpp
@@ -1,4 +1,5 @@
-// Usage on every VM, and the duties of the one that holds the lease.
+// Appends usage counts on every VM, and does the duties on the VM that holds the lease:
+// sealing and reporting usage windows, and ordering servers and engine roles.
 //
 // Index: duty_worker: usage, lease, sealing, reporting
 #ifndef MARIGOLDCRANK_SERVING_DUTY_WORKER_HPP
@@ -31,8 +32,9 @@
     {
     }
 
-    /// Hands over counts, window by window. A relay hands over what it has heard of its
-    /// members too; a member whose counts are in the log by then saves its append.
+    /// Appends this VM's usage counts to the usage log, window by window. A relay also
+    /// appends the counts that it received from its members; a member whose counts are
+    /// already in the log saves its own append.
     boost::asio::awaitable<void> run_usage()
     {
         auto const started = boot_clock::now();
@@ -79,19 +81,20 @@
         return "duty";
     }
 
-    /// The VMs that hand over usage.
+    /// The VMs that append usage.
     std::set<vm_contact> vms() const
     {
         return state_.usage_known.contacts();
     }
 
-    /// Hands over all counts, those of the open window too: the process is about to end.
+    /// Appends all counts, including those of the open window, before the process ends.
     boost::asio::awaitable<void> append_all_usage()
     {
         return append_usage(current_window() + 1);
     }
 
-    /// Follows the lease, takes it when it is free, and does the duties while it is held.
+    /// Follows the lease, claims it when it is free, and does the duties while holding
+    /// it.
     boost::asio::awaitable<void> run_duties()
     {
         while (true)
@@ -123,7 +126,7 @@
 
     boost::asio::awaitable<void> append_usage(std::int64_t before)
     {
-        while (usage_lane_busy_) // the lane serves one call at a time
+        while (usage_lane_busy_) // a lane allows one call at a time
         {
             co_await loop_sleep(lane_poll);
         }
@@ -164,7 +167,8 @@
         }
         if (!taken)
         {
-            // A member's relay has its counts from digests and appends them too.
+            // The relay of a member also appends the member's counts, which it has from
+            // digests, so a member can retry less often.
             bool const member = state_.reads_via_peers && !state_.is_first_relay;
             append_gate_.limit(member ? patient_retries : retry_gate_options{});
             append_gate_.failed(boot_clock::now());
@@ -179,8 +183,9 @@
                                   : "usage_append_failures_total");
     }
 
-    /// Load answered: after an outage of the store every VM of a large fleet would append
-    /// what its relay has appended for it meanwhile.
+    /// Drops counts that are in the log already. Otherwise, after an outage of the store,
+    /// every VM of a large fleet would append what its relay has appended for it
+    /// meanwhile.
     void drop_appended()
     {
         std::erase_if(
@@ -191,12 +196,13 @@
     static constexpr unsigned     duty_lane = 2;
     static constexpr unsigned     usage_lane = 3;
     static constexpr std::int64_t retained_windows = 8; // windows; more than are ever due
-    // 400 records; more than the VMs of a fleet, each of which tells of itself once a
-    // window
+    // 400   records; more than the fleet has VMs, each of which appends a record every
+    //       window
     static constexpr std::uint64_t recent_records = 400;
     static constexpr millis        lane_poll{
-        20}; // 20   ms; between looks for the lane to be free
-    static constexpr millis usage_poll{300}; // 300  ms; between looks for a closed window
+        20}; // 20   ms; between checks whether the lane is free
+    static constexpr millis usage_poll{
+        300}; // 300  ms; between checks for a closed window
 
     static std::string usage_topic()
     {
@@ -205,8 +211,8 @@
 
     // Lease
 
-    /// A holder that has fallen silent is watched more closely, to take over soon after
-    /// its lease.
+    /// Time until the next read of the duty log. It is shorter while the holder is
+    /// silent, so that another VM takes over soon after the lease ends.
     millis poll_interval() const
     {
         auto const now = boot_clock::now();
@@ -221,15 +227,16 @@
         return state_.serves_peers ? times_.relay_poll : times_.poll;
     }
 
-    /// Whether no pause is needed: the read has waited for news, or the lease was taken.
+    /// True if no pause is needed before the next step: the read has waited for new
+    /// records, or the lease was claimed.
     boost::asio::awaitable<bool> follow_lease()
     {
         bool const may_wait = state_.serves_peers || state_.reads_via_peers;
         auto const read = co_await read_log(may_wait ? poll_interval() : millis{0});
         bool const known = read == read_step::complete;
         bool const waited = may_wait && read != read_step::failed;
-        // Read through another VM the log may be older than the last renewal, and a
-        // conditional append would mostly fail.
+        // The log as read through another VM may lack the last renewal, so a conditional
+        // append would mostly fail.
         bool const outdated = !known || state_.reads_via_peers;
         if (outdated || !log_.may_claim(boot_clock::now()) || state_.draining)
         {
@@ -237,7 +244,8 @@
         }
         std::vector<duty_record> claim{
             duty_record{.kind = duty_kind::claim, .holder = state_.incarnation}};
-        // The new holder acts at once: windows may be due since an outage of the store.
+        // The new holder acts at once, since windows may be due after an outage of the
+        // store.
         co_return co_await append(std::move(claim));
     }
 
@@ -266,7 +274,8 @@
         }
     }
 
-    /// Appends under the condition that nothing was appended unseen.
+    /// Appends only if the log has not grown since it was last read. False if the append
+    /// failed or its result is unknown.
     boost::asio::awaitable<bool> append(std::vector<duty_record> records)
     {
         auto const               now = boot_clock::now();
@@ -282,7 +291,8 @@
         auto const* offset = std::get_if<std::uint64_t>(&result);
         if (offset == nullptr)
         {
-            // Without an answer it may have been appended: what was is read back.
+            // An append without a response may have taken effect, which only a read
+            // shows.
             co_await read_log(millis{0});
             co_return false;
         }
@@ -296,8 +306,8 @@
     enum class read_step
     {
         failed,
-        partial, // more records are there
-        complete // up to the end
+        partial, // more records follow
+        complete // read up to the end
     };
 
     boost::asio::awaitable<read_step> read_log(millis wait)
@@ -363,11 +373,13 @@
                          boot_clock::now());
     }
 
-    /// Load answered: hundreds of VMs lose power and start at once. If each read the
-    /// whole history of counts, the store's bandwidth would be used up, reads of rules
-    /// would run into their time-out, and their repeats would keep it so. A VM begins
-    /// shortly before its own first record, which tells who is there; only the VMs that
-    /// others ask, and the holder of the duties, read the rest.
+    /// Reads new records of the usage log.
+    ///
+    /// When hundreds of VMs lose power and start at once, and each reads the whole usage
+    /// log, the reads use up the store's bandwidth, reads of rules time out, and their
+    /// retries keep the store overloaded. A VM therefore starts reading shortly before
+    /// its own first record, which is enough to learn the other VMs. Only VMs that others
+    /// query, and the holder of the lease, read the whole log.
     boost::asio::awaitable<void> read_usage()
     {
         bool const serves_others = state_.serves_peers && state_.known_vms > 0;
@@ -378,9 +390,9 @@
         }
         if (!usage_started_)
         {
-            co_return; // the first append tells where the log ends
+            co_return; // the first append returns the end of the log
         }
-        while (usage_lane_busy_) // the lane serves one call at a time
+        while (usage_lane_busy_) // a lane allows one call at a time
         {
             co_await loop_sleep(lane_poll);
         }
@@ -410,7 +422,8 @@
         state_.known_vms = static_cast<std::int64_t>(state_.usage_known.writers());
     }
 
-    /// Windows whose counts are in and that nobody has sealed yet.
+    /// Seals for the windows that are due: all counts are in or overdue, and no seal or
+    /// report exists.
     std::vector<duty_record> due_seals()
     {
         std::vector<duty_record> seals;
@@ -427,11 +440,13 @@
             auto       counts = state_.usage_known.of(window);
             bool const late = now - (window + 1) * length >= times_.seal_timeout.count();
             bool const due = late || state_.usage_known.complete(window);
-            // A seal can be lost from the history; reports of this VM, and those that the
-            // newest renewal tells of, can't. Two figures must not be reported.
+            // The log may lose a seal when it is trimmed. Windows that this VM has
+            // reported, or that the newest renewal lists as reported, are remembered
+            // besides, so that no window is reported with two different figures.
             bool const sealed = log_.sealed().count(window) > 0 || is_reported(window);
             bool const known = state_.usage_known.known(window);
-            // Also without a single call: a window that isn't reported is missing.
+            // Windows without calls are sealed too, since a window that isn't reported
+            // counts as missing.
             if (due && known && !sealed)
             {
                 seals.push_back({.kind = duty_kind::seal,
@@ -478,7 +493,7 @@
             log_report(window, counts, *sender, outcome);
             if (outcome != duty_outcome::accepted)
             {
-                break; // sealed, so the repeat will bear the same figures
+                break; // the window is sealed, so the retry reports the same figures
             }
             reported_windows_.insert(window);
         }
@@ -492,8 +507,9 @@
                log_.reported(window);
     }
 
-    /// The mark that a successor goes by: all windows up to it are reported. One that
-    /// still waits for counts holds it back, but not the reports of later ones.
+    /// Advances `reported_up_to_`, which renewals pass on to a successor: all windows up
+    /// to it are reported. A window that still waits for counts holds it back, but
+    /// doesn't delay the reports of later windows.
     void advance_reported()
     {
         auto const length = state_.settings.usage_window.count();
@@ -530,19 +546,19 @@
     Duties&                   duties_;
     duty_times                times_;
     duty_log                  log_;
-    std::vector<usage_record> pending_; // that aren't known to be appended
-    std::uint64_t             usage_next_ = 0;
+    std::vector<usage_record> pending_;        // not known to be appended
+    std::uint64_t             usage_next_ = 0; // next offset to read
     boot_clock::time_point    usage_read_at_{};
-    retry_gate                append_gate_;            // for records that wait
-    bool                      usage_read_ = false;     // up to its end
-    bool                      usage_started_ = false;  // `usage_next_` is known
-    bool                      usage_complete_ = false; // read from the first record kept
-    std::int64_t              appended_before_ = 0;    // windows before this one
+    retry_gate                append_gate_;            // limits retries of `pending_`
+    bool                      usage_read_ = false;     // the log is read up to its end
+    bool                      usage_started_ = false;  // `usage_next_` is set
+    bool                      usage_complete_ = false; // read from the oldest record on
+    std::int64_t              appended_before_ = 0;    // windows before it are appended
     bool                      usage_lane_busy_ = false;
     bool                      held_ = false;
-    std::int64_t              reported_up_to_ = 0; // all windows up to this one
-    std::set<std::int64_t>    reported_windows_;   // reported later ones
-    fleet_orders<Duties>      fleet_;
+    std::int64_t reported_up_to_ = 0; // last of the windows reported without a gap
+    std::set<std::int64_t> reported_windows_; // reported windows after that one
+    fleet_orders<Duties>   fleet_;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/entry_node.hpp
+++ b/src/serving/entry_node.hpp
@@ -1,4 +1,4 @@
-// An entry VM's daemon: its parts, its start, its graceful shutdown.
+// The daemon of an entry VM: its components, start and graceful shutdown.
 //
 // Index: 1 entry_node: start, run, drain
 #ifndef MARIGOLDCRANK_SERVING_ENTRY_NODE_HPP
@@ -36,8 +36,8 @@
         shared_.limit_age(Codec::rules_topic(), max_rules_age);
     }
 
-    /// Serves until a signal has drained it. Throws boost::system::system_error if an
-    /// address can't be listened on.
+    /// Serves until a signal to stop and the drain that follows. Throws
+    /// boost::system::system_error if it can't listen on an address.
     void run()
     {
         listen();
@@ -57,31 +57,30 @@
     }
 
 private:
-    // 1300  ms; a leaving server must be out of use two seconds after its notice. The VM
-    // that
-    //       reads for the others does so every 900 ms; if the store turns it away, they
-    //       read for themselves
+    // 1300  ms; maximum age of relayed server entries. A leaving server must be out of
+    //       use two seconds after its notice. The VM that reads for the others does so
+    //       every 900 ms; if the store refuses its reads, the others read the store
+    //       themselves
     static constexpr millis max_servers_age{1300};
-    // 1400  ms; new rules must be in force two seconds after they were written. The VM
-    // that
-    //       reads for the others waits up to 600 ms for them at the store, those that
-    //       pass them on up to 700 ms
+    // 1400  ms; maximum age of relayed rules. New rules must be in force two seconds
+    //       after they were written. The VM that reads for the others waits up to 600 ms
+    //       for them at the store, those that relay them up to 700 ms
     static constexpr millis max_rules_age{1400};
-    // 200   ms; lines wait no longer, and idle connections are looked through
+    // 200   ms; between flushes of the log and checks for idle connections
     static constexpr millis housekeeping_interval{200};
-    // 1500  ms; longest wait for other VMs to be known when all start at once
+    // 1500  ms; longest wait to discover other VMs when all start at once
     static constexpr millis max_discovery{1500};
-    // 50    ms; between looks at whether they are
+    // 50    ms; between checks whether any are known
     static constexpr millis discovery_poll{50};
-    // 1000  ms; between plans of whom to listen to, each of which sorts all VMs
+    // 1000  ms; between relay plans, each of which sorts all VMs
     static constexpr millis plan_interval{1000};
-    // 5000  ms; between lines that tell of calls to the store
+    // 5000  ms; between log lines about calls to the store
     static constexpr millis tally_interval{5000};
-    // 50    ms; between looks at whether all calls have ended
+    // 50    ms; between checks whether all calls have ended
     static constexpr millis drain_poll{50};
-    // 300   ms of the grace are left for the last answers to be taken
+    // 300   ms; part of the grace period for callers to receive the last responses
     static constexpr millis drain_reserve{300};
-    // 100   ms of the grace are left to exit
+    // 100   ms; part of the grace period for the process to exit
     static constexpr millis exit_reserve{100};
 
     void spawn(boost::asio::awaitable<void> work)
@@ -119,9 +118,10 @@
                               [this] { return state_.log.dropped(); });
     }
 
-    /// Load answered: all VMs of a large fleet start at once, and each would list and
-    /// read every topic before it knows whom to ask. Callers come seconds after such a
-    /// start, so a VM looks for the others first.
+    /// Starts the readers of the store, after the first start only once other VMs are
+    /// known. When all VMs of a large fleet start at once, each would otherwise list and
+    /// read every topic before it knows which VM to query. Callers come seconds after
+    /// such a start, so there is time to wait.
     boost::asio::awaitable<void> follow_store()
     {
         auto const began = boot_clock::now();
@@ -174,8 +174,8 @@
         }
     }
 
-    /// What tells something new of the servers: most of their records only say that they
-    /// live.
+    /// Filters that pass only records with a change: most records of servers only report
+    /// that the server is alive.
     static peer_exchange::filter_factory change_filters()
     {
         return [](std::string const& topic)
@@ -236,7 +236,7 @@
         loop_.stop();
     }
 
-    /// Takes over the bounds from a changed settings file; addresses stay as they are.
+    /// Loads limits from the changed settings file. Addresses don't change while running.
     void reload()
     {
         auto const now = boot_clock::now();
@@ -251,8 +251,8 @@
         state_.log.write(event_line{"reload"}.add("taken", taken ? 1 : 0), now);
     }
 
-    /// Not ready at once, but serving until the balancer has noticed; then idle
-    /// connections end, and calls in work get the rest of the grace.
+    /// Reports not ready at once, but serves until the balancer has noticed. Then it
+    /// closes idle connections, and running calls get the rest of the grace period.
     boost::asio::awaitable<void> drain()
     {
         auto const began = boot_clock::now();
@@ -275,9 +275,9 @@
                          boot_clock::now());
     }
 
-    /// Failure guarded against: a silent store takes seconds for an append, and the
-    /// process would be killed at the end of its grace. What isn't handed over by then
-    /// has been told in digests.
+    /// Appends usage counts until `until`. A store that doesn't respond can delay an
+    /// append by seconds, and the process would be killed at the end of its grace period.
+    /// Digests have published the counts that aren't appended by then.
     boost::asio::awaitable<void> append_usage_until(boot_clock::time_point until)
     {
         auto const done = std::make_shared<bool>(false);
@@ -294,13 +294,14 @@
         *done = true;
     }
 
-    /// Closing our side first lets a request that crosses it be told apart by its sender.
+    /// Shuts down the sending direction first, so that a caller can tell apart a request
+    /// that crosses the close.
     void close_idle_links()
     {
         auto const links = std::exchange(idle_, {});
         for (auto const& link : links)
         {
-            boost::system::error_code ignored; // it may have closed by itself
+            boost::system::error_code ignored; // the connection may be closed already
             link->stream().socket().shutdown(boost::asio::ip::tcp::socket::shutdown_send,
                                              ignored);
         }
@@ -318,10 +319,10 @@
     idle_links                                   idle_;
     boost::asio::signal_set                      signals_;
     boot_clock::time_point                       tallied_at_{};
-    boot_clock::time_point                       planned_at_{};     // whom to listen to
-    std::int64_t                                 planned_vms_ = -1; // as many were known
-    bool peers_known_ = false;                                      // knows whom to ask
-    bool ready_ = false;
+    boot_clock::time_point                       planned_at_{}; // the last relay plan
+    std::int64_t planned_vms_ = -1;                             // VMs known at that time
+    bool         peers_known_ = false; // other VMs can be queried
+    bool         ready_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/entry_state.cpp
+++ b/src/serving/entry_state.cpp
@@ -1,4 +1,4 @@
-// Beliefs of the daemon.
+// Freshness of keys, candidate servers, and this VM's shares of loads and budgets.
 #include "serving/entry_state.hpp"
 
 #include <xxhash.h>
@@ -13,19 +13,21 @@
 namespace
 {
 
-// 8  tenths of a key's life are used; the rest covers the way of a call to its server
+// 8     tenths of the life of a key are used; the rest covers the way of a call to its
+//       server
 constexpr std::int64_t safe_tenths = 8;
 constexpr std::int64_t tenths = 10;
-// 5/4  of the VMs known, among which the deployment's retries are divided: VMs that start
-//      are counted by the others only after their first window
+// 5/4   of the known VMs are assumed to share the deployment's retries, because starting
+//       VMs are counted by the others only after their first window
 constexpr std::int64_t known_vms_parts = 4;
 constexpr std::int64_t assumed_vms_parts = 5;
-// 100  VMs while none is known: more than any deployment of today has
+// 100   VMs assumed while none is known; larger than deployments are
 constexpr std::int64_t default_vms = 100;
-// 500  ms; a VM that has told nothing for so long, three digests and a late one, isn't
-//      counted on
+// 500   ms; a VM without a digest for so long, the time of three digests and a late one,
+//       is taken for silent
 constexpr millis peer_timeout{500};
-// 450  ms; from a member to its relay, to another relay and to its members
+// 450   ms; age of a load that a member sends to its relay, this to another relay, and
+//       that one to its members
 constexpr millis relayed_digest_age = digest_pause * 3;
 
 } // namespace
--- a/src/serving/entry_state.hpp
+++ b/src/serving/entry_state.hpp
@@ -1,9 +1,9 @@
-// What one daemon believes and counts: rules, servers, loads, budgets, usage.
+// State of one daemon: rules, servers, loads, retry budgets and usage.
 //
 // Index: 1 rules_view, 2 entry_state, 3 load_share
 //
-// Confined to the event loop's thread, which is the one that an entry VM's quarter of a
-// core feeds: it has no locks because nothing else may touch it.
+// Used only on the thread of the event loop, so it needs no locks. An entry VM's quarter
+// of a core feeds one such thread.
 #ifndef MARIGOLDCRANK_SERVING_ENTRY_STATE_HPP
 #define MARIGOLDCRANK_SERVING_ENTRY_STATE_HPP
 
@@ -34,17 +34,17 @@
 namespace marigoldcrank
 {
 
-// 150   ms; between digests. A prompt of 8,000 tokens is read in as long: placement must
-//       not rest on much older knowledge
+// 150   ms; between digests. An engine reads a prompt of 8,000 tokens in that time, so
+//       placement must not use much older loads
 inline constexpr millis digest_pause{150};
 
 class quota_gate;
 
-/// The rules in force and how old the knowledge is.
+/// The rules in force, and the time from which their age counts.
 struct rules_view
 {
-    std::shared_ptr<serving_rules const> rules;       // null: none known yet
-    boot_clock::time_point               read_sent{}; // of the newest answered read
+    std::shared_ptr<serving_rules const> rules; // null: none read yet
+    boot_clock::time_point read_sent{};         // sending of the newest answered read
 };
 
 class entry_state
@@ -52,64 +52,66 @@
 public:
     entry_state(entry_settings value, std::string incarnation_name);
 
-    /// True while keys may be believed: a read sent within the safe part of their life
-    /// was answered. Failure guarded against: a withdrawn key that goes on working at a
-    /// VM which can't reach the store.
+    /// True while keys may be accepted: a read that was sent within the safe part of
+    /// their life was answered. Otherwise a withdrawn key would go on working at a VM
+    /// that can't reach the store.
     bool keys_fresh(boot_clock::time_point now) const;
 
-    /// Whether the balancer should send new connections here.
+    /// Whether the balancer should send new connections to this VM.
     bool ready(boot_clock::time_point now) const;
 
-    /// Servers of `service` that may get new work, with our load; without those `tried`.
+    /// Servers of `service` that may get new work, with their load from all VMs, except
+    /// those in `tried`.
     std::vector<candidate> candidates(std::string const&           service,
                                       std::set<std::string> const& tried,
                                       boot_clock::time_point       now) const;
 
-    /// Servers of `service` that stay.
+    /// Number of servers of `service` that are not leaving.
     std::int64_t servers_of(std::string const& service) const;
 
-    /// Whether VMs hear of each other through relays.
+    /// Whether digests go through relays, because the fleet is larger than the mesh.
     bool relays_used() const;
 
-    /// How old what this VM knows of others' work is.
+    /// Typical age of what this VM knows of the load from other VMs.
     millis digest_age() const;
 
-    /// Whether the VM that answers others at `records` lives, by its digests.
+    /// Whether a digest shows that the VM that answers others at the address `records`
+    /// was alive lately.
     bool heard_lately(std::string const& records, boot_clock::time_point now) const;
 
-    /// Forgets VMs that weren't heard lately.
+    /// Forgets VMs without a recent digest.
     void forget_silent_peers(boot_clock::time_point now);
 
-    /// What this VM has in work and is asked for.
+    /// Load and demand of this VM's own calls.
     vm_work own_work(boot_clock::time_point now);
 
-    /// What callers ask of a service at all VMs.
+    /// Demand for a service at all VMs together.
     work_demand demand(std::string const& service, boot_clock::time_point now);
 
-    /// This VM's counts of the last windows.
+    /// This VM's usage counts of the last windows.
     std::vector<usage_record> recent_usage();
 
-    /// The bucket of retries for a service, this VM's share of it.
+    /// Retry budget for a service: this VM's share of the deployment's budget.
     retry_budget& budget(std::string const& service);
 
     std::uint64_t ticket();
 
-    /// How model calls are placed, as the settings allow.
+    /// Options for the placement of model calls, from the settings.
     placement_options placing() const;
 
-    /// The time of day that usage windows are cut by, in ms since 1970.
+    /// Time in ms since 1970 that divides usage windows.
     std::int64_t day_ms();
 
     entry_settings                     settings;
     std::string                        incarnation;
     rules_view                         view;
     server_list                        servers;
-    server_loads                       loads;    // calls of this VM
-    load_relay                         peers;    // calls of the others
-    std::set<std::string>              changing; // engines that are given another role
+    server_loads                       loads;    // from calls of this VM
+    load_relay                         peers;    // from calls of the other VMs
+    std::set<std::string>              changing; // engines in a change of role
     server_health                      health;
     connection_pool                    pool;
-    vm_contact                         contact; // of this VM
+    vm_contact                         contact; // addresses of this VM
     usage_counter                      usage;
     usage_sum                          usage_known; // of all VMs
     std::map<std::string, work_meter>  meters;      // by service
@@ -120,16 +122,16 @@
     true_clock                         day;
     crash_watch                        crashes;
     std::map<std::string, boot_clock::time_point>
-                 last_heard; // VMs, by where they answer others
+                 last_heard; // VMs, by the address where they answer
     fleet_share  fleet;
-    quota_gate*  quotas = nullptr;        // null: nobody can be asked yet
-    std::int64_t known_vms = 0;           // that handed over usage lately; 0: none
-    bool         reads_via_peers = false; // records of the store come through other VMs
-    bool         serves_peers = false;    // other VMs hear of the store through this one
-    bool         is_first_relay = false;  // of its data centre's relays it is the first
+    quota_gate*  quotas = nullptr;        // null: no VM can be queried yet
+    std::int64_t known_vms = 0;           // VMs that appended usage lately; 0: none
+    bool         reads_via_peers = false; // other VMs pass on the records of the store
+    bool         serves_peers = false;    // this VM passes on the records of the store
+    bool         is_first_relay = false;  // the first of its data centre's relays
     bool         holds_duties = false;
-    bool         draining = false; // not ready; still serving
-    bool         closed = false;   // takes no new calls any more
+    bool         draining = false; // reports not ready, still serves
+    bool         closed = false;   // accepts no new calls
     std::int64_t calls_in_work = 0;
 
 private:
@@ -137,10 +139,10 @@
     std::mt19937_64                     random_;
 };
 
-/// Identifies a call that is sent again: the same path, caller and body.
+/// Hash that identifies a repeated call: the same path, caller and body.
 std::string content_of(caller_call const& call, std::string const& body);
 
-/// Holds a call's share of a server's load for as long as it lives.
+/// Adds a call to the load of its server, and removes it on destruction.
 class load_share
 {
 public:
@@ -149,7 +151,7 @@
     load_share(load_share const&) = delete;
     load_share& operator=(load_share const&) = delete;
 
-    /// The prompt has been read: its tokens wait no longer.
+    /// The prefill has ended: the prompt's tokens leave the load.
     void prompt_read();
 
 private:
--- a/src/serving/fleet_orders.hpp
+++ b/src/serving/fleet_orders.hpp
@@ -1,6 +1,10 @@
-// What the holder of the duties orders: servers, and other roles for engines.
+// Orders of the VM that holds the lease: the number of servers, and role changes of
+// engines.
 //
-// Index: fleet_orders: act, announcements, servers, roles
+// Inputs are the rules, the server list and the demand at all VMs. Role changes are
+// announced in the duty log before they are ordered.
+//
+// Index: fleet_orders: send_orders, announcements, servers, roles
 #ifndef MARIGOLDCRANK_SERVING_FLEET_ORDERS_HPP
 #define MARIGOLDCRANK_SERVING_FLEET_ORDERS_HPP
 
@@ -19,7 +23,7 @@
 namespace marigoldcrank
 {
 
-/// Part of the duty worker, which owns the log of the duties and appends to it.
+/// Part of the duty worker, which owns the duty log and appends the announcements to it.
 template <duty_port Duties>
 class fleet_orders
 {
@@ -30,7 +34,8 @@
     {
     }
 
-    /// One pass, while the lease is held. Each call checks what is left of the lease.
+    /// Plans and sends the orders that are due, while the lease is held. Each call checks
+    /// the remaining time of the lease.
     boost::asio::awaitable<void> send_orders()
     {
         platform_silent_ = false;
@@ -39,7 +44,7 @@
         co_await send_role_orders();
     }
 
-    /// Announces of changes that no record tells of yet.
+    /// Announcements of the planned role changes that aren't in the log yet.
     std::vector<duty_record> announcements()
     {
         std::vector<duty_record> records;
@@ -57,7 +62,8 @@
         return records;
     }
 
-    /// Engines that are about to change, or do, take no new work on any VM.
+    /// Marks the engines with an announced or running role change; they get no new work
+    /// on any VM.
     void update_changing()
     {
         auto const now = boot_clock::now();
@@ -74,14 +80,14 @@
 private:
     static constexpr double milli = 1000;
 
-    /// The newest order for one kind of server of a service in a data centre.
+    /// The last order for one kind of server of a service in a data centre.
     struct last_order
     {
         std::int64_t           count = -1;
         boot_clock::time_point at{};
     };
 
-    /// A change that this VM has decided on as the holder.
+    /// A role change that this VM has planned as the holder.
     struct role_change
     {
         boot_clock::time_point planned{};
@@ -89,8 +95,8 @@
         bool                   ordered = false;
     };
 
-    /// Whether the log tells of this change, and not only of an earlier one of the
-    /// engine.
+    /// Whether the log has an announcement of this change, and not only of an earlier one
+    /// of the same engine.
     bool announced(std::string const& id, role_change const& change) const
     {
         auto const logged = log_.changing().find(id);
@@ -110,12 +116,13 @@
             fleet.count(count_fleet(value.name, state_.servers.servers()));
             fleet.want(wanted_servers(value), boot_clock::now());
             co_await send_server_orders(value);
-            // A refusal of cheap servers decides on those of full price at once.
+            // If cheap servers were refused, the second pass orders full-price ones at
+            // once.
             co_await send_server_orders(value);
         }
     }
 
-    /// Servers of a service that carry what callers ask; 0 if that isn't known.
+    /// Number of servers that the demand for a service needs; 0 if that isn't known.
     std::int64_t wanted_servers(service const& value)
     {
         return value.has_engines ? servers_for(need_of(value, split_engines(value.name)))
@@ -204,7 +211,7 @@
         }
     }
 
-    /// What callers ask of a service at all VMs, in engines.
+    /// Demand for a service at all VMs, in engines.
     role_need need_of(service const& value, std::vector<split_engine> const& engines)
     {
         if (engines.empty())
@@ -218,7 +225,7 @@
         return need;
     }
 
-    /// Orders whose announcement all VMs have had time to read.
+    /// Sends the role orders whose announcement all VMs have had time to read.
     boost::asio::awaitable<void> send_role_orders()
     {
         std::vector<std::pair<std::string, engine_role>> due;
@@ -247,7 +254,8 @@
             {
                 continue;
             }
-            auto const engine = found->second; // a copy: the list changes meanwhile
+            auto const engine =
+                found->second; // a copy, since the list may change during the call
             auto const outcome = co_await duties_.order_role(*sender, engine, role);
             state_.log.write(event_line{"role_order"}
                                  .add("server", id)
@@ -264,8 +272,8 @@
         return now - change.heard < times_.role_change_timeout;
     }
 
-    /// All engines of a service that stay, those in a change with the role they will
-    /// have.
+    /// All engines of a service that aren't leaving; those in a change with their future
+    /// role.
     std::vector<split_engine> split_engines(std::string const& name) const
     {
         std::vector<split_engine> engines;
@@ -305,7 +313,7 @@
     std::map<std::tuple<std::string, std::string, bool>, last_order> last_orders_;
     std::map<std::string, fleet_state> fleets_;       // by service
     std::map<std::string, role_change> role_changes_; // by engine
-    // A call of this pass got no answer: the lease must not run out over further ones.
+    // A call of this pass got no response; further calls could outlast the lease.
     bool platform_silent_ = false;
 };
 
--- a/src/serving/peer_exchange.cpp
+++ b/src/serving/peer_exchange.cpp
@@ -1,4 +1,4 @@
-// Following the plan.
+// Applies the relay plan, and publishes and receives digests.
 #include "serving/peer_exchange.hpp"
 
 #include <zmq.hpp>
@@ -9,10 +9,10 @@
 namespace
 {
 
-// 3     one digest in so many tells of usage: a VM that is killed loses 450 ms of its
-//       counts, a tenth of a window, of which 0.05 may be missing over all VMs
+// 3     rounds; one digest in three includes usage counts. A killed VM loses 450 ms of
+//       its counts, a tenth of a window, of which 0.05 may be missing over all VMs
 constexpr std::uint64_t usage_interval = 3;
-// 16    digests between two looks for what is too old to be kept
+// 16    rounds between removals of expired entries
 constexpr std::uint64_t expiry_interval = 16;
 
 std::set<digest_scope> scopes_of(relay_plan const& plan)
@@ -25,8 +25,8 @@
                       : std::set{digest_scope::fleet};
 }
 
-/// Whose observations a digest tells of: that of one VM its own, that of a data centre
-/// those of its VMs, that of the fleet all.
+/// The sources whose observations a digest includes: the digest of a VM only its own,
+/// that of a data centre those of its VMs, that of the fleet all.
 news_source widest_source(digest_scope scope)
 {
     switch (scope)
--- a/src/serving/peer_exchange.hpp
+++ b/src/serving/peer_exchange.hpp
@@ -1,4 +1,5 @@
-// What an entry VM exchanges with the others: load digests, and records of the store.
+// Exchanges load digests and records of the store with other entry VMs, as the relay plan
+// says.
 //
 // Index: 1 peer_exchange, 2 changed_entries
 #ifndef MARIGOLDCRANK_SERVING_PEER_EXCHANGE_HPP
@@ -28,13 +29,13 @@
     peer_exchange(peer_exchange const&) = delete;
     peer_exchange& operator=(peer_exchange const&) = delete;
 
-    /// Follows whom the plan for these VMs names.
+    /// Makes the relay plan for these VMs, and connects to the VMs that it names.
     void follow(std::set<vm_contact> const& vms);
 
-    /// Tells of this VM, and answers questions that have waited long enough.
+    /// Publishes digests, and replies to queries that have waited long enough.
     void publish_digests();
 
-    /// Null if this VM offers no records.
+    /// Null if this VM has no address for records.
     record_link* records()
     {
         return records_.get();
@@ -48,15 +49,15 @@
     entry_state&                    state_;
     std::unique_ptr<zmq::context_t> context_;
     std::unique_ptr<record_link>    records_;
-    std::unique_ptr<quota_gate>     quotas_; // null if this VM offers no records
+    std::unique_ptr<quota_gate>     quotas_; // null if `records_` is
     digest_link                     digests_;
     relay_plan                      plan_;
     std::uint64_t                   rounds_ = 0;
-    std::int64_t                    listed_vms_ = 0; // VMs that the store knows
+    std::int64_t                    listed_vms_ = 0; // VMs in the last relay plan
 };
 
-/// A judge for entries of servers: a record is news if it changes what is believed of its
-/// server. Without this every VM would decode each sign of life of each server.
+/// Filter for entries of servers: passes records that change what is known of their
+/// server. Without it every VM would decode each heartbeat of each server.
 template <class Codec>
 topic_mirror::change_filter changed_entries()
 {
--- a/src/serving/record_link.cpp
+++ b/src/serving/record_link.cpp
@@ -1,6 +1,6 @@
-// ROUTER and DEALER sockets.
+// Replies on a ROUTER socket, and queries each relay on a DEALER socket.
 //
-// Index: 1 relays and questions, 2 state: asking, answering, 3 record_link
+// Index: 1 relays and queries, 2 state: querying, replying, 3 record_link
 #include "serving/record_link.hpp"
 
 #include "serving/watched_socket.hpp"
@@ -22,20 +22,20 @@
 namespace
 {
 
-// 64    messages waiting for one VM; each asks for one topic at a time
+// 64    messages queued per VM; each queries one topic at a time
 constexpr int queue_limit = 64;
-// 250   ms beyond the wait asked for, until a relay counts as silent: the store is read
-//       before what is known of keys is too old
+// 250   ms beyond the requested wait, until a relay counts as silent and the store is
+//       read, before the records of keys are too old
 constexpr millis reply_margin{250};
-// 500   ms; a relay that knew nothing fresh is left alone for so long
+// 500   ms; backoff for a relay without fresh records
 constexpr millis stale_backoff{500};
-// 2000 to 8000  ms; the same for one that was silent
+// 2000 to 8000 ms; backoff for a silent relay
 constexpr millis min_backoff{2000};
 constexpr millis max_backoff{8000};
 
 } // namespace
 
-// 1. Relays and questions
+// 1. Relays and queries
 
 namespace
 {
@@ -45,11 +45,11 @@
 {
     std::string                     address;
     std::unique_ptr<watched_socket> socket;
-    boot_clock::time_point          avoided_until{}; // until then
+    boot_clock::time_point          avoided_until{}; // not queried before
     millis                          backoff = min_backoff;
 };
 
-/// A question that waits for its answer.
+/// A query of this VM that waits for its reply.
 struct pending_query
 {
     explicit pending_query(asio::io_context& loop) : timer(loop) {}
@@ -58,7 +58,7 @@
     std::optional<wire::records_answer> answer;
 };
 
-/// A question of another VM that waits for news.
+/// A query of another VM that waits for a change.
 struct waiting_query
 {
     std::string            requester;
@@ -72,7 +72,8 @@
     log_chunk chunk{.from = answer.from(), .end = answer.end(), .first = answer.from()};
     chunk.records.assign(answer.records().begin(), answer.records().end());
     chunk.relayed = true;
-    // The answer was made at least so long after the question was sent as it was held.
+    // The relay held the query for `held_ms` before it replied, so the reply was made at
+    // least that long after the query was sent.
     chunk.age = millis{static_cast<std::int64_t>(answer.age_ms())} -
                 millis{static_cast<std::int64_t>(answer.held_ms())};
     return chunk;
@@ -109,9 +110,9 @@
         return found == relays.end() ? nullptr : &*found;
     }
 
-    /// A relay that answers without knowing better has lost the store, maybe for all. It
-    /// is asked again soon: it costs no time, and if it stayed away its members would go
-    /// on reading the store for seconds after an outage.
+    /// Avoids a relay that replies with old records: it has lost the store, maybe as all
+    /// VMs have. The backoff is short because the reply costs no time, and because
+    /// otherwise its members would go on reading the store for seconds after an outage.
     void avoid_stale(std::string const& address)
     {
         if (auto* relay = find(address))
@@ -120,8 +121,8 @@
         }
     }
 
-    /// A silent relay, if it is still one, is left alone: longer each time, since every
-    /// try costs time in which knowledge gets older.
+    /// Avoids a silent relay, if it is still in use. The backoff doubles each time, since
+    /// each attempt costs time in which the records get older.
     void avoid_silent(std::string const& address)
     {
         if (auto* relay = find(address))
@@ -147,7 +148,7 @@
         relay.socket->drain();
     }
 
-    /// The relay's answer; nothing if it is silent.
+    /// The relay's reply; nothing if it is silent.
     asio::awaitable<std::optional<wire::records_answer>> fetch(relay_peer&   relay,
                                                                records_query query)
     {
@@ -162,7 +163,7 @@
         pending_queries[asked] = asking;
         asking->timer.expires_after(query.wait + reply_margin);
         send(relay, message);
-        boost::system::error_code error; // cancelled by the answer, or over
+        boost::system::error_code error; // timer cancelled by the reply, or expired
         co_await asking->timer.async_wait(
             asio::redirect_error(asio::use_awaitable, error));
         pending_queries.erase(asked);
@@ -175,7 +176,7 @@
         auto const&          bytes = parts.back();
         if (!answer.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         {
-            return; // the question runs into its time-out
+            return; // the query times out
         }
         auto const found = pending_queries.find(answer.number());
         if (found != pending_queries.end())
@@ -185,7 +186,7 @@
         }
     }
 
-    // Answering
+    // Replying
 
     void receive_query(std::vector<zmq::message_t>& parts)
     {
@@ -196,7 +197,7 @@
         }
         waiting_query    waiter;
         auto const&      bytes = parts.back();
-        constexpr millis longest{5000}; // a reader's own wait is far shorter
+        constexpr millis longest{5000}; // ms; the waits of readers are far shorter
         if (parts.size() != 2 ||
             !waiter.ask.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         {
@@ -282,8 +283,8 @@
     std::vector<relay_peer>                                 relays;
     std::map<std::uint64_t, std::shared_ptr<pending_query>> pending_queries;
     std::uint64_t                                           number = 0;
-    bool stale = false;  // the last relay that was asked has lost the store
-    bool serves = false; // other VMs ask this one
+    bool stale = false;  // the relay that replied last has lost the store
+    bool serves = false; // other VMs query this one
     record_link::other_answers          others;
     std::map<std::string, topic_mirror> mirrors;
     std::list<waiting_query>            waiting;
@@ -351,7 +352,8 @@
 
 asio::awaitable<std::optional<log_chunk>> record_link::fetch(records_query query)
 {
-    // Answers that don't help come at once, so there is time to ask the next relay.
+    // Replies without usable records come at once, so there is time to query the next
+    // relay.
     std::optional<wire::records_answer> older;
     for (std::size_t place = 0; place < state_->relays.size(); ++place)
     {
--- a/src/serving/shared_store.hpp
+++ b/src/serving/shared_store.hpp
@@ -1,4 +1,4 @@
-// The store, whose records are read through other VMs in a large fleet.
+// Access to the store that reads records through other VMs in a large fleet.
 //
 // Index: shared_store
 #ifndef MARIGOLDCRANK_SERVING_SHARED_STORE_HPP
@@ -15,22 +15,23 @@
 namespace marigoldcrank
 {
 
-/// Reads are asked of relays while there are any, else of the store, and then kept for
-/// VMs that ask this one. Appends and whole listings always go to the store.
+/// Reads go to relays while there are any, else to the store. The records are then kept
+/// for the VMs that query this one. Appends and complete listings always go to the store.
 template <log_store_port Store>
 class shared_store
 {
 public:
     explicit shared_store(Store& store) : store_(store) {}
 
-    /// Without a link every read goes to the store. The link must outlive all calls.
+    /// Sets the link to the relays; null sends every read to the store. The link must
+    /// outlive all calls.
     void set_link(record_link* link)
     {
         link_ = link;
     }
 
-    /// Reads of `topic` go to the store while `direct`: a VM that appends at its end must
-    /// know that end as it is now.
+    /// Sends reads of `topic` to the store while `direct`: a VM that appends at the end
+    /// of the topic must know its current end.
     void read_directly(std::string const& topic, bool direct)
     {
         if (direct)
@@ -43,26 +44,25 @@
         }
     }
 
-    /// Answers of other VMs for `topic` count only up to this age, at a VM that passes
-    /// them on.
+    /// Sets the maximum age of relayed records of `topic` at a VM that passes them on.
     void limit_age(std::string const& topic, millis max_age)
     {
         max_ages_[topic] = max_age;
     }
 
-    /// Whether other VMs ask this one. Load answered: the VM that reads for hundreds of
-    /// others is slow for once. If all found its answers too old and read the store,
-    /// they would use up its bandwidth and stay at it; so only the few do that the
-    /// others hear from.
+    /// Sets whether other VMs query this one. When the VM that reads for hundreds of
+    /// others is slow, all of them would find its records too old, read the store, use up
+    /// its bandwidth and go on like that. Only VMs that pass records on therefore enforce
+    /// the maximum age; the others accept older records if no relay has newer ones.
     void passes_on(bool asked)
     {
         passes_on_ = asked;
     }
 
-    /// Whether digests go through relays. If not, the fleet is small: topics with a limit
-    /// of age are read by each VM for itself. Failure guarded against: the store turns
-    /// away the VM that reads for the others, and they use a leaving server, or rules
-    /// that have been replaced, for longer than is allowed.
+    /// Sets whether digests go through relays. If not, the fleet is small, and each VM
+    /// reads topics with a maximum age itself. Otherwise, when the store refuses the VM
+    /// that reads for the others, they would use a leaving server, or rules that have
+    /// been replaced, for longer than is allowed.
     void relays_used(bool used)
     {
         relays_used_ = used;
@@ -84,9 +84,9 @@
         tally_.of(topic).failed += offset == nullptr ? 1 : 0;
         if (link_ != nullptr && offset != nullptr && at)
         {
-            // Nothing was appended unseen, so VMs that ask this one learn of it here. A
-            // holder reads its topic after a failure only, and they would all read the
-            // store for themselves.
+            // The append was conditional, so no record lies between, and the VMs that
+            // query this one can get the new records from here. A holder reads its topic
+            // only after a failure, so otherwise they would all read the store.
             log_chunk const own{
                 .from = *offset, .end = *offset + records.size(), .records = records};
             link_->merge(topic, own, sent);
@@ -124,10 +124,10 @@
     }
 
 private:
-    // 700   ms; longest wait for news at a relay. What a member knows is no older than
-    //       this wait, the same of its relay and 600 ms of the fleet's reader: 2 s, of
-    //       the 4 s after which keys aren't believed any more. The rest is for a silent
-    //       relay and a read of the store in its place
+    // 700   ms; longest wait for new records at a relay. The records of a member are no
+    //       older than this wait, the same wait of its relay and 600 ms of the VM that
+    //       reads for the fleet: 2 s of the 4 s after which keys are no longer accepted.
+    //       The rest is for a silent relay and the read of the store that replaces it
     static constexpr millis max_relay_wait{700};
 
     bool reads_via_relays(std::string const& topic) const
@@ -154,7 +154,7 @@
         tally_.of(topic).failed += chunk == nullptr ? 1 : 0;
         if (chunk != nullptr)
         {
-            // The store answers without records only after the whole wait.
+            // The store returns no records only after the full wait.
             bool const waited =
                 chunk->records.empty() && boot_clock::now() - sent >= wait;
             chunk->age = waited ? -wait : millis{0};
@@ -166,7 +166,7 @@
         co_return result;
     }
 
-    /// History that is gone is an answer.
+    /// A read of trimmed records counts as answered.
     static void update_gate(retry_gate& gate, store_result<log_chunk> const& result)
     {
         auto const* failure = std::get_if<store_failure>(&result);
@@ -182,11 +182,11 @@
 
     Store&                            store_;
     record_link*                      link_ = nullptr;
-    std::set<std::string>             direct_topics_; // topics
+    std::set<std::string>             direct_topics_; // read from the store
     std::map<std::string, millis>     max_ages_;      // by topic
     bool                              passes_on_ = false;
     bool                              relays_used_ = false;
-    std::map<std::string, retry_gate> gates_; // by topic; for reads beside the relays
+    std::map<std::string, retry_gate> gates_; // by topic; for reads of the store
     store_tally                       tally_;
 };
 
--- a/src/serving/status_server.cpp
+++ b/src/serving/status_server.cpp
@@ -1,4 +1,4 @@
-// Small answers over kept connections.
+// Serves short responses over keep-alive connections.
 #include "serving/status_server.hpp"
 
 #include "serving/listener.hpp"
@@ -24,7 +24,7 @@
 namespace
 {
 
-constexpr millis idle_timeout{30000}; // 30000  ms; kept connections without a question
+constexpr millis idle_timeout{30000}; // 30000 ms; keep-alive without a request
 
 asio::awaitable<void> serve_connection(tcp::socket                      socket,
                                        std::function<status_response()> respond)
--- a/src/serving/status_server.hpp
+++ b/src/serving/status_server.hpp
@@ -1,6 +1,6 @@
-// Answers the balancer's question for readiness, and serves metrics.
+// HTTP server for the balancer's readiness checks and for metrics.
 //
-// Index: status_answer, serve_status
+// Index: status_response, serve_status
 #ifndef MARIGOLDCRANK_SERVING_STATUS_SERVER_HPP
 #define MARIGOLDCRANK_SERVING_STATUS_SERVER_HPP
 
@@ -20,8 +20,9 @@
     std::string text;
 };
 
-/// Accepts on `address` for as long as the loop runs; every GET gets `answer()`. Throws
-/// boost::system::system_error if the address can't be listened on.
+/// Accepts connections on `address` for as long as the loop runs, and answers every
+/// request with `respond()`. Throws boost::system::system_error if it can't listen on the
+/// address.
 void serve_status(boost::asio::io_context& loop, socket_address const& address,
                   std::function<status_response()> respond);
 
--- a/src/serving/store_followers.hpp
+++ b/src/serving/store_followers.hpp
@@ -1,10 +1,11 @@
-// Follows what the operators and the servers write into the store.
+// Follows the topics that the operators and the servers write into the store.
 //
 // Index: 1 store_codec, 2 follow_options, 3 rules_follower, 4 servers_follower
 //
-// Both begin with the newest record of each key and then read on; when the whole system
-// starts, with the first record of all, which other VMs hold too. Records may be dropped
-// from the history at any time; then the newest ones are read again.
+// Both followers start with the newest record of each key and then read on. When the
+// whole system starts for the first time, they start with the first record, which other
+// VMs have too. The store may drop old records at any time; then the followers read the
+// newest ones again.
 #ifndef MARIGOLDCRANK_SERVING_STORE_FOLLOWERS_HPP
 #define MARIGOLDCRANK_SERVING_STORE_FOLLOWERS_HPP
 
@@ -17,7 +18,7 @@
 namespace marigoldcrank
 {
 
-/// Names and forms of the topics that others write.
+/// Names of the topics that others write, and parsers for their records.
 template <class Codec>
 concept store_codec = requires(std::string const& text, std::uint64_t offset)
 {
@@ -43,24 +44,24 @@
 
 struct follow_options
 {
-    // 1500  ms; longest a read for rules waits at the store. Keys are believed for some
-    //       seconds from the sending of the last answered read, so two of these and a
-    //       second try on a new connection must fit into that time.
+    // 1500  ms; longest wait for rules at the store. Keys are accepted for some seconds
+    //       from the sending of the last answered read, so two of these waits and a
+    //       second attempt on a new connection must fit into that time
     millis rules_wait{1500};
-    // 600   ms; the same where other VMs ask this one: what it knows is so old at the
-    //       most, and theirs by two waits of their own more
+    // 600   ms; the same at a VM that other VMs query. Its rules are that old at most,
+    //       and theirs older by two waits of their own
     millis relay_wait{600};
-    // 900   ms; pause between reads of the servers' entries, which change all the time.
-    //       A leaving server gets no new work within two seconds of its notice.
+    // 900   ms; between reads of the servers' entries, which change all the time. A
+    //       leaving server gets no new work later than two seconds after its notice
     millis servers_pause{900};
-    // 150 to 800  ms; pause after a failed read, doubled each time
+    // 150 to 800 ms; pause after a failed read, doubled each time
     millis min_retry{150};
     millis max_retry{800};
 
     bool operator==(follow_options const&) const = default;
 };
 
-/// Pause before the next try of a failing read.
+/// Exponential backoff with jitter for a failing read.
 class retry_backoff
 {
 public:
@@ -73,8 +74,8 @@
     {
         auto const pause = next_;
         next_ = std::min(next_ * 2, options_.max_retry);
-        // Spread over half to whole, so that VMs that failed together don't return
-        // together.
+        // Jitter of half to all of the pause, so that VMs that failed together don't
+        // retry together.
         return pause / 2 +
                millis{static_cast<std::int64_t>(
                    ticket % static_cast<std::uint64_t>(pause.count() / 2 + 1))};
@@ -143,8 +144,9 @@
             {
                 apply(record);
             }
-            next_ =
-                after.empty() ? page.end : next_; // later pages may miss changes to it
+            // Later pages may lack changes up to their end, so reading goes on from the
+            // end of the first one.
+            next_ = after.empty() ? page.end : next_;
             if (!page.more || page.records.empty())
             {
                 synced_ = true;
@@ -177,7 +179,7 @@
         co_return std::nullopt;
     }
 
-    /// A version only ever gives way to a newer one, whatever order records are read in.
+    /// Applies only newer versions, in whatever order records are read.
     void apply(keyed_record const& record)
     {
         if (record.key != Codec::rules_key() || !record.value)
@@ -210,7 +212,8 @@
         state_.view.rules = std::make_shared<serving_rules const>(std::move(*rules));
     }
 
-    /// A quota that can't be read must not set its workspace free.
+    /// Keeps the last quota where a new one is unreadable, so that its workspace doesn't
+    /// become unlimited.
     void keep_quotas(serving_rules& rules)
     {
         auto const none = std::make_shared<serving_rules const>();
@@ -245,8 +248,8 @@
     follow_options options_;
     retry_backoff  backoff_;
     std::uint64_t  next_ = 0;
-    millis         age_{0}; // of the newest answer when it was asked for
-    bool           synced_; // `next_` continues what has been read
+    millis         age_{0}; // age of the last chunk when its read was sent
+    bool           synced_; // `next_` continues the last read
     bool           lost_ = false;
 };
 
@@ -279,7 +282,7 @@
             {
                 forget(id, "lapsed");
             }
-            if (!relayed_) // a relay has waited for news
+            if (!relayed_) // a relay has already waited for new records
             {
                 co_await loop_sleep(options_.servers_pause);
             }
@@ -313,8 +316,9 @@
                     all.push_back(std::move(*server));
                 }
             }
-            next_ =
-                after.empty() ? page.end : next_; // later pages may miss changes to it
+            // Later pages may lack changes up to their end, so reading goes on from the
+            // end of the first one.
+            next_ = after.empty() ? page.end : next_;
             if (!page.more || page.records.empty())
             {
                 break;
@@ -322,7 +326,7 @@
             after = page.records.back().key;
         }
         synced_ = true;
-        // The listing is believed only now that the store is known to be back.
+        // The listing is applied only now that the store is known to be back.
         state_.servers.store_answered(boot_clock::now());
         state_.servers.replace(all, boot_clock::now());
         state_.servers.caught_up();
@@ -359,7 +363,7 @@
         co_return std::nullopt;
     }
 
-    /// An engine that has started anew, or reads in another role, keeps no prompts.
+    /// Forgets the cached prompts of an engine that has restarted or changed its role.
     void forget_cache(backend_server const& server)
     {
         auto const& known = state_.servers.servers();
@@ -415,7 +419,7 @@
     follow_options options_;
     retry_backoff  backoff_;
     std::uint64_t  next_ = 0;
-    bool           synced_; // `next_` continues what has been read
+    bool           synced_; // `next_` continues the last read
     bool           relayed_ = false;
 };
 
--- a/src/serving/store_tally.hpp
+++ b/src/serving/store_tally.hpp
@@ -1,4 +1,4 @@
-// Counts this VM's calls to the store, which the platform bounds and bills.
+// Counts this VM's calls to the store, which the platform limits and bills.
 //
 // Index: 1 topic_calls, 2 store_tally
 #ifndef MARIGOLDCRANK_SERVING_STORE_TALLY_HPP
@@ -15,16 +15,16 @@
 /// Calls for one topic since the last report.
 struct topic_calls
 {
-    std::int64_t reads = 0;    // of the store
-    std::int64_t listings = 0; // of the newest record of each key
-    std::int64_t appends = 0;  //
-    std::int64_t failed = 0;   // of these three
-    std::int64_t relayed = 0;  // reads that another VM answered
+    std::int64_t reads = 0;    // from the store
+    std::int64_t listings = 0; // reads of the newest record of each key
+    std::int64_t appends = 0;
+    std::int64_t failed = 0;  // failed calls of these three kinds
+    std::int64_t relayed = 0; // reads answered by another VM
 
     bool operator==(topic_calls const&) const = default;
 };
 
-/// Not shared between threads.
+/// Counts by topic. Not thread-safe.
 class store_tally
 {
 public:
@@ -33,7 +33,7 @@
         return topics_[topic];
     }
 
-    /// The counts since the last call of this function.
+    /// Returns the counts since the last call of this function, and resets them.
     std::map<std::string, topic_calls> take()
     {
         return std::exchange(topics_, {});
--- a/src/serving/topic_mirror.cpp
+++ b/src/serving/topic_mirror.cpp
@@ -1,4 +1,4 @@
-// Keeping a run of records.
+// Merges and trims runs of records.
 #include "serving/topic_mirror.hpp"
 
 #include <algorithm>
--- a/src/serving/watched_socket.cpp
+++ b/src/serving/watched_socket.cpp
@@ -1,4 +1,4 @@
-// Waiting for a ZeroMQ socket's descriptor.
+// Waits for the descriptor of a ZeroMQ socket and receives its messages.
 #include "serving/watched_socket.hpp"
 
 namespace marigoldcrank
@@ -9,10 +9,10 @@
 namespace
 {
 
-// 1000 and 2500  ms; a connection that has gone silent is found and opened anew
+// 1000 and 2500 ms; heartbeat interval, and silence after which a connection is reopened
 constexpr int heartbeat_ms = 1000;
 constexpr int heartbeat_dead_ms = 2500;
-// 200   ms; between tries to connect
+// 200   ms; between attempts to connect
 constexpr int reconnect_ms = 200;
 
 } // namespace
@@ -36,7 +36,7 @@
 
 watched_socket::~watched_socket()
 {
-    readable_.release(); // the descriptor is the socket's
+    readable_.release(); // the socket closes its descriptor
 }
 
 void watched_socket::drain()
--- a/src/serving/watched_socket.hpp
+++ b/src/serving/watched_socket.hpp
@@ -1,4 +1,4 @@
-// A ZeroMQ socket whose messages are taken on the event loop.
+// ZeroMQ socket whose messages are handled on the event loop.
 //
 // Index: watched_socket
 #ifndef MARIGOLDCRANK_SERVING_WATCHED_SOCKET_HPP
@@ -17,12 +17,12 @@
 namespace marigoldcrank
 {
 
-/// Bounded queues, no lingering, and heartbeats that find a connection gone silent.
+/// Sets bounded queues, no lingering, and heartbeats that detect silent connections.
 class watched_socket
 {
 public:
-    /// Called on the loop with the parts of each message; empty for a socket that only
-    /// sends (asking a PUB socket for messages throws).
+    /// Called on the loop with the frames of each message. Empty for a socket that only
+    /// sends, since receiving from a PUB socket throws.
     using handler = std::function<void(std::vector<zmq::message_t>& parts)>;
 
     watched_socket(boost::asio::io_context& loop, zmq::context_t& context,
@@ -36,15 +36,15 @@
         return socket_;
     }
 
-    /// Takes all messages that have arrived. Must follow each send: the socket's
-    /// descriptor tells of changes only, and a send may use up such a change.
+    /// Handles all messages that have arrived. Must follow each send: the socket's
+    /// descriptor signals state changes only, and a send may consume the signal.
     void drain();
 
 private:
     void wait_readable();
 
     zmq::socket_t                         socket_;
-    boost::asio::posix::stream_descriptor readable_; // borrowed from the socket
+    boost::asio::posix::stream_descriptor readable_; // owned by `socket_`
     handler                               on_message_;
 };
 
--- a/tests/platform/beliefs_test.cpp
+++ b/tests/platform/beliefs_test.cpp
@@ -1,4 +1,4 @@
-// What a daemon believes of the store, and what its callers see when that fails.
+// What a daemon knows from the store, and what its callers see when the store fails.
 //
 // Index: 1 rules and keys, 2 servers, 3 shutdown, 4 duties, 5 log lines
 #include "platform/support/entry_world.hpp"
@@ -25,8 +25,8 @@
 
 // 1. Rules and keys
 
-// A clerk leaves the firm and the operator takes the key away. It must stop working
-// within seconds, while the other workspace goes on.
+// An operator withdraws a key. It must stop working within seconds, while another
+// workspace is still served.
 TEST(platform_beliefs, withdrawn_key_stops_working)
 {
     entry_world world;
@@ -37,9 +37,9 @@
     EXPECT_EQ(status_of(world, {.key = "key-other"}), 200);
 }
 
-// The store stops answering this VM, and keys are withdrawn meanwhile. The VM can't know
-// which, so once its knowledge is too old it must refuse keyed calls as not run, and go
-// on serving those that need no key.
+// The store doesn't respond to this VM, and keys may be withdrawn meanwhile. Once its
+// rules are too old, the VM must refuse calls with a key as not run, and go on serving
+// calls that need no key.
 TEST(platform_beliefs, keyed_calls_are_refused_when_keys_can_not_be_checked)
 {
     entry_world world({.bounds = "key_life_ms = 3000\n"});
@@ -55,7 +55,7 @@
 }
 
 // An old version is read after a newer one, as when a VM reads pages of a store that is
-// being written. It must never come back into force.
+// being written. The old version must not come into force again.
 TEST(platform_beliefs, older_rules_never_replace_newer_ones)
 {
     entry_world world;
@@ -68,20 +68,21 @@
     EXPECT_EQ(status_of(world, {.key = "key-new"}), 200);
 }
 
-// The store drops its history while a VM follows it. The newest records must be read
-// anew.
+// The store drops its records while a VM follows it. The VM must read the newest records
+// again.
 TEST(platform_beliefs, rules_are_found_again_after_the_history_is_gone)
 {
     entry_world world;
     world.store().trouble(store_trouble::refusing);
-    std::this_thread::sleep_for(milliseconds{1800}); // the read in progress has ended
+    std::this_thread::sleep_for(milliseconds{1800}); // until the current read has ended
     world.configure(2, {"key-new"});
     world.store().trouble(store_trouble::forgetting);
     EXPECT_TRUE(
         eventually([&] { return status_of(world, {.key = "key-new"}) == 200; }, 8000));
 }
 
-// A path that no rule names is answered at once, and so is a call without its key.
+// A call to a path without a rule, or without a valid key, is refused at once, each with
+// its own status.
 TEST(platform_beliefs, unknown_paths_and_keys_are_told_apart)
 {
     entry_world world;
@@ -92,8 +93,9 @@
 
 // 2. Servers
 
-// The store is away; servers can't renew their entries, and these lapse. Read back at
-// once the list would be empty and every call refused, though all servers live.
+// While the store is away, servers can't renew their entries, and the entries expire. If
+// the VM applied the list as soon as the store is back, it would have no servers and
+// refuse every call, although all servers are alive.
 TEST(platform_beliefs, servers_outlive_the_lapse_of_their_entries)
 {
     entry_world world;
@@ -107,7 +109,7 @@
     {
         EXPECT_EQ(status_of(world, {.path = "/open/x", .key = ""}), 200);
     }
-    world.list_server(world.server(1)); // one is back, the other stays away: it is gone
+    world.list_server(world.server(1)); // only one server comes back
     std::this_thread::sleep_for(milliseconds{3500});
     auto const before = world.server(0).arrivals().size();
     for (int call = 0; call < 6; ++call)
@@ -117,7 +119,7 @@
     EXPECT_EQ(world.server(0).arrivals().size(), before);
 }
 
-// A server says that it leaves. New work sent there dies with it.
+// A server announces that it is leaving. New work sent to it would be lost with it.
 TEST(platform_beliefs, leaving_server_gets_no_new_work)
 {
     entry_world world;
@@ -131,8 +133,8 @@
     EXPECT_EQ(world.server(0).arrivals().size(), before);
 }
 
-// Another writer spoils a server's entry. It names no server to use, and must not end the
-// process or the use of the others.
+// Another writer corrupts the entry of a server. That entry is ignored; it must neither
+// end the process nor affect the other servers.
 TEST(platform_beliefs, unreadable_entries_leave_the_others_in_use)
 {
     entry_world world;
@@ -149,8 +151,8 @@
 
 // 3. Shutdown
 
-// A VM is stopped for an update while a wording is being written. The balancer must be
-// told, the stream must end whole, and the process must then go by itself.
+// A VM is stopped while it relays a stream. It must report not ready to the balancer,
+// relay the stream to its end, and then exit by itself.
 TEST(platform_beliefs, planned_stop_cuts_no_call)
 {
     entry_world       world;
@@ -179,8 +181,9 @@
     EXPECT_EQ(world.daemon().wait(9000), 0);
 }
 
-// A VM is stopped while the store is silent and a call never ends. Handing over the
-// counts of usage then takes seconds beyond the grace, and the process would be killed.
+// A VM is stopped while the store doesn't respond and a call never ends. Appending the
+// usage counts would then take seconds longer than the grace period, and the process
+// would be killed.
 TEST(platform_beliefs, planned_stop_ends_within_the_grace_while_the_store_is_silent)
 {
     entry_world world({.bounds = "grace_s = 4\n"});
@@ -219,17 +222,17 @@
     return result;
 }
 
-/// Bounds that let a window pass quickly.
+/// Settings with short windows.
 world_options quick_duties(int daemons)
 {
     return {.daemons = daemons,
             .bounds = "usage_window_s = 1\nlease_ms = 1500\nkey_life_ms = 5000\n"};
 }
 
-// The VM that reports usage is paused for longer than its lease and then goes on. Two VMs
-// that both report could bill a window twice with different figures. Its successor must
-// bear a higher token, the woken one must not use its old one any more, and no window may
-// be reported with two figures.
+// The VM that reports usage is paused for longer than its lease and then continues. If
+// two VMs report, a window could be billed twice with different figures. The successor
+// must use a higher token, the resumed VM must not use its old one any more, and no
+// window may be reported with two figures.
 TEST(platform_beliefs, paused_holder_reports_nothing_after_its_successor)
 {
     entry_world world(quick_duties(2));
@@ -276,8 +279,8 @@
     EXPECT_GT(token, first.token);
 }
 
-// Answers of the store are lost after its appends took effect. A VM that sends its counts
-// again must not have them billed twice.
+// Responses of the store are lost after its appends took effect. Counts that a VM then
+// appends again must not be billed twice.
 TEST(platform_beliefs, counts_whose_append_got_no_answer_are_billed_once)
 {
     entry_world world(quick_duties(1));
@@ -311,8 +314,8 @@
     EXPECT_EQ(billed(), calls);
 }
 
-// A VM is killed with an open window of usage. Its workspaces would not be billed for the
-// calls in it: they were in no record yet. Digests have told the other VM of them.
+// A VM is killed before it has appended the counts of the open window, so the calls in it
+// would not be billed. The other VM has received the counts in digests.
 TEST(platform_beliefs, calls_of_a_killed_vm_are_billed)
 {
     entry_world world({.daemons = 2,
@@ -327,7 +330,8 @@
                             1 - holder),
                   200);
     }
-    std::this_thread::sleep_for(milliseconds{700}); // a digest in three tells of usage
+    std::this_thread::sleep_for(
+        milliseconds{700}); // one digest in three has usage counts
     world.daemon(1 - holder).signal(SIGKILL);
     auto const billed = [&]
     {
@@ -347,8 +351,8 @@
     EXPECT_TRUE(eventually([&] { return billed() == calls; }, 20000)) << billed();
 }
 
-// A window in which no call began to run is reported too, with no figures: one that is
-// missing looks like one that was lost.
+// A window without calls is reported too, with no counts; a missing one looks like a lost
+// one.
 TEST(platform_beliefs, window_without_calls_is_reported)
 {
     entry_world world(quick_duties(1));
@@ -358,8 +362,8 @@
 
 // 5. Log lines
 
-// On-call engineers find the cause of a failed call by its id alone. Each way in which a
-// call ends must leave exactly one final line with the id, and no line may hold a key.
+// The cause of a failed call must be found by its id alone. Each way in which a call ends
+// must write exactly one final line with the id, and no line may contain a key.
 TEST(platform_beliefs, every_call_leaves_one_final_line_and_no_line_holds_a_key)
 {
     entry_world world;
--- a/tests/platform/quotas_test.cpp
+++ b/tests/platform/quotas_test.cpp
@@ -1,4 +1,4 @@
-// Quotas of workspaces over several daemons, as callers and servers see them.
+// Quotas of workspaces over several daemons, as seen by callers and servers.
 #include "platform/support/entry_world.hpp"
 #include "platform/support/raw_caller.hpp"
 #include "support/eventually.hpp"
@@ -14,7 +14,7 @@
 namespace
 {
 
-// 300 tokens a second and 1,200 at once.
+// 300 tokens per second, with a burst of 1,200.
 constexpr char const* small_quota =
     R"({"rate_per_s":300,"burst":1200,"unit":"token_accounting","uncached_tokens":50})";
 constexpr char const* quota_bounds =
@@ -32,7 +32,8 @@
     return ask(world.callers_port(daemon), {.id = id, .fields = stated});
 }
 
-/// Tokens of the calls that were let in, each of 100, sent to all daemons in turn.
+/// Tokens of the calls that were admitted. Each has 100 tokens; all daemons are called in
+/// turn.
 int tokens_let_in(entry_world const& world, int calls)
 {
     int served = 0;
@@ -45,7 +46,7 @@
     return served * tokens_each;
 }
 
-/// Two small calls at each daemon, one after the other.
+/// Sends two small calls to each daemon, one after the other.
 bool lets_in_two_each(entry_world const& world)
 {
     bool all = true;
@@ -57,8 +58,9 @@
     return all;
 }
 
-/// Until the daemons know each other, each keeps a small part of the quota, in which the
-/// second call finds no room. The pause lets the quota fill again.
+/// Waits until each daemon admits two calls. Before the daemons know each other, each has
+/// a small share of the quota, which the second call exceeds. The pause then lets the
+/// quota refill.
 bool shares_settle(entry_world const& world)
 {
     constexpr int most_looks = 15;
@@ -74,8 +76,8 @@
     return false;
 }
 
-// A workspace spreads its calls over all VMs. If each VM let in a quota of its own, three
-// times the quota would run.
+// A workspace sends its calls to all VMs. If each VM admitted the whole quota, the
+// workspace would get three times its quota.
 TEST(platform_quotas, one_quota_holds_over_all_vms)
 {
     entry_world world{three_with(small_quota)};
@@ -95,7 +97,7 @@
     EXPECT_EQ(ask(world.callers_port(1), {.key = "key-south"}).status, 200);
 }
 
-// Refused calls must cost no server anything, and a refused one says that it has not run.
+// A refused call must not reach a server, and its response says that it has not run.
 TEST(platform_quotas, refused_calls_reach_no_server)
 {
     entry_world world{three_with(small_quota)};
@@ -109,8 +111,8 @@
               before);
 }
 
-// The VM that keeps the quota is killed. The others must neither stop serving the
-// workspace nor let in what they like.
+// The VM that owns the quota is killed. The others must neither stop serving the
+// workspace nor admit unlimited calls.
 TEST(platform_quotas, quota_outlives_the_vm_that_kept_it)
 {
     entry_world world{three_with(small_quota)};
@@ -133,8 +135,8 @@
     EXPECT_GT(refused, 20);
 }
 
-// A quota is written with a wrong type. The workspace must not be free of any limit, and
-// the operators must find out.
+// The operators write a quota with a wrong type. The workspace must not become unlimited,
+// and the log must show the fault.
 TEST(platform_quotas, quota_that_can_not_be_read_leaves_the_last_one)
 {
     entry_world world{three_with(small_quota)};
@@ -143,15 +145,16 @@
     ASSERT_TRUE(eventually(
         [&] { return world.output(1).find("ev=quota_unreadable") != std::string::npos; },
         5000));
-    static_cast<void>(call(world, 1, "large", "4000,4000")); // may run from a full bucket
+    static_cast<void>(
+        call(world, 1, "large", "4000,4000")); // may run while the bucket is full
     EXPECT_EQ(call(world, 1, "large-too", "4000,4000").status, 429);
     world.configure_north(3, "{}");
     EXPECT_TRUE(eventually(
         [&] { return call(world, 1, "free", "4000,4000").status == 200; }, 5000));
 }
 
-// No server is there to run calls. What they hold of the quota must come back, or the
-// workspace is refused once there are servers again.
+// No server accepts calls. The quota that they reserved must be returned, or the
+// workspace is refused once servers accept calls again.
 TEST(platform_quotas, calls_that_did_not_run_give_their_tokens_back)
 {
     entry_world world{three_with(small_quota)};
@@ -171,8 +174,8 @@
     }
 }
 
-// A field that holds no token counts can't be charged; a caller must not get round its
-// quota with it.
+// A field without valid token counts can't be charged, so a caller could use it to evade
+// its quota.
 TEST(platform_quotas, token_counts_that_are_no_numbers_are_refused)
 {
     entry_world world{three_with(small_quota)};
--- a/tests/platform/relays_test.cpp
+++ b/tests/platform/relays_test.cpp
@@ -1,4 +1,4 @@
-// Fleets above the mesh's size: records of the store that come through other VMs.
+// Fleets larger than the mesh, which read records of the store through other VMs.
 //
 // Index: 1 a link between two VMs, 2 daemons
 #include "platform/support/entry_world.hpp"
@@ -21,7 +21,7 @@
 
 // 1. A link between two VMs
 
-/// A relay and a VM that asks it, on one event loop.
+/// A relay and a member that queries it, on one event loop.
 struct linked_vms
 {
     linked_vms()
@@ -29,7 +29,7 @@
         member.follow({relay_address});
     }
 
-    /// What the member is told; nothing if it has to read the store.
+    /// The chunk that the member gets; nothing if it has to read the store.
     std::optional<log_chunk> fetch(records_query query)
     {
         std::optional<log_chunk> answer;
@@ -81,18 +81,18 @@
     EXPECT_GE(answer->age, millis{300});
 }
 
-// The relay has lost the store and doesn't know it yet. A member that took its old
-// knowledge for fresh would let a withdrawn key work.
+// The relay has lost the store and hasn't detected it yet. If a member took its old
+// records for fresh, a withdrawn key would go on working.
 TEST(record_link, answer_that_is_too_old_is_not_taken)
 {
     linked_vms vms;
     vms.relay.merge("rules", one_record(), boot_clock::now() - millis{2500});
     EXPECT_FALSE(vms.fetch({"rules", 8, millis{100}}));
-    EXPECT_FALSE(vms.member.relayed()); // the relay is left alone for a while
+    EXPECT_FALSE(vms.member.relayed()); // the relay is avoided for a while
 }
 
-// The store turns the VM away that reads for the others. Servers that leave must not get
-// work for longer than their notice says, so the others read the store for themselves.
+// The store refuses the VM that reads for the others. They must then read the store
+// themselves, or leaving servers would get work for longer than their notice allows.
 TEST(record_link, answer_older_than_the_asker_allows_is_not_taken)
 {
     linked_vms    vms;
@@ -100,13 +100,13 @@
     query.max_age = millis{1300};
     vms.relay.merge("servers", one_record(), boot_clock::now() - millis{900});
     auto const began = boot_clock::now();
-    EXPECT_FALSE(vms.fetch(query)); // it waited for news until its knowledge was too old
+    EXPECT_FALSE(vms.fetch(query)); // waited for a change until the records were too old
     EXPECT_LT(boot_clock::now() - began, millis{1000});
-    EXPECT_TRUE(vms.member.relayed()); // what it knows of other topics is fresh enough
+    EXPECT_TRUE(vms.member.relayed()); // its records of other topics are fresh enough
 }
 
-// The first relay's knowledge is old, the second one has read the store for itself.
-// Members must hear of a leaving server from that one.
+// The first relay has old records, the second one has read the store itself. Members must
+// learn of a leaving server from the second.
 TEST(record_link, fresher_answer_of_the_next_relay_is_taken)
 {
     linked_vms  vms;
@@ -123,7 +123,7 @@
     EXPECT_EQ(answer->records.size(), 1U);
 }
 
-// Hundreds of members must not all read the store because their relays are slow for once.
+// Hundreds of members must not all read the store because their relays are slow once.
 TEST(record_link, older_answer_is_taken_where_nobody_knows_better)
 {
     linked_vms vms;
@@ -135,19 +135,19 @@
     EXPECT_TRUE(vms.fetch(query));
 }
 
-// A question that waits for news at one VM after the other gets an answer that is as old
-// as all waits together, and keys are refused though the store answers.
+// Queries wait for a change at one VM after the other. If the waits added to the age of
+// the reply, keys would be refused although the store responds.
 TEST(record_link, the_time_a_question_waited_makes_its_answer_no_older)
 {
     linked_vms vms;
     vms.relay.merge("rules", {.from = 8, .end = 8}, boot_clock::now());
     auto const answer = vms.fetch({"rules", 8, millis{600}});
     ASSERT_TRUE(answer);
-    EXPECT_LE(answer->age, millis{100}); // counted from the question, 600 ms before
+    EXPECT_LE(answer->age, millis{100}); // counted from the query, 600 ms earlier
 }
 
-// A member that was told by its relay must not pass that on as its own unless it is asked
-// by others: it would keep records that nobody reads.
+// A member that isn't queried by other VMs must not keep the records from its relay,
+// since nobody would read them.
 TEST(record_link, answers_of_relays_are_kept_by_vms_that_are_asked)
 {
     linked_vms vms;
@@ -160,17 +160,17 @@
     EXPECT_TRUE(vms.fetch({"rules", 7, millis{50}}));
 }
 
-// A relay that has just started doesn't hold the records from before. Its members must
-// read them from the store rather than miss them.
+// A relay that has just started lacks older records. Its members must read them from the
+// store instead of missing them.
 TEST(record_link, records_that_the_relay_does_not_hold_come_from_the_store)
 {
     linked_vms vms;
     vms.relay.merge("rules", one_record(), boot_clock::now());
     EXPECT_FALSE(vms.fetch({"rules", 3, millis{500}}));
-    EXPECT_TRUE(vms.member.relayed()); // it may be asked for what comes next
+    EXPECT_TRUE(vms.member.relayed()); // it may be queried for later records
 }
 
-// A relay dies, or the network swallows its answers.
+// A relay dies, or the network drops its replies.
 TEST(record_link, silent_relay_is_given_up_in_time)
 {
     linked_vms vms;
@@ -198,9 +198,9 @@
 
 // 2. Daemons
 
-constexpr int fleet_size = 5; // with a mesh of two: one VM reads the store for the others
+constexpr int fleet_size = 5; // with a mesh of two, one VM reads the store for all
 
-/// What a VM has logged last of its place among the others.
+/// The last relay plan that a VM has logged.
 std::string last_plan(entry_world const& world, int index)
 {
     auto const text = world.output(index);
@@ -214,7 +214,8 @@
     return last_plan(world, index).find("relay=1") != std::string::npos;
 }
 
-/// Whether all VMs know of each other: two relays, of which one asks the other.
+/// Whether all VMs know each other: there are two relays, and one of them queries the
+/// other.
 bool planned(entry_world const& world)
 {
     int relays = 0;
@@ -255,7 +256,7 @@
     return true;
 }
 
-// A key is withdrawn. It must stop working also at VMs that only hear of the store.
+// A withdrawn key must also stop working at VMs that read the store only through relays.
 TEST(platform_relays, withdrawn_key_stops_working_on_all_vms)
 {
     auto const world = fleet();
@@ -264,8 +265,8 @@
     EXPECT_TRUE(eventually([&] { return all_answer(*world, 401); }, 3000));
 }
 
-// The store falls silent for everybody. Members still get answers from their relays,
-// which must not make them believe in their keys for longer than the relays do.
+// The store responds to no VM. Members still get replies from their relays, but must not
+// accept keys for longer than the relays do.
 TEST(platform_relays, members_refuse_keyed_calls_when_relays_have_lost_the_store)
 {
     auto const world = fleet("key_life_ms = 5000\n");
@@ -276,8 +277,8 @@
     EXPECT_TRUE(eventually([&] { return all_answer(*world, 200); }, 10000));
 }
 
-// Both relays freeze. Their members must find the store by themselves before their
-// knowledge of the keys is too old, so that no caller notices.
+// Both relays freeze. Their members must read the store themselves before their records
+// of the keys are too old, so that no call fails.
 TEST(platform_relays, members_go_on_without_their_relays)
 {
     auto const       world = fleet();
@@ -314,8 +315,8 @@
     }
 }
 
-// All VMs of a large fleet lose power and start at once. If each read the whole history
-// of counts, the store would answer nobody in time.
+// All VMs of a large fleet lose power and start at once. If each read the whole usage
+// log, the store would be overloaded and respond to none in time.
 TEST(platform_relays, vm_that_starts_again_reads_only_the_end_of_the_usage_log)
 {
     constexpr int kept = 3000;
@@ -331,8 +332,8 @@
     EXPECT_TRUE(eventually([&] { return world.ready(1); }, 5000));
 }
 
-// The store turns one VM of a small fleet away, whichever reads for the others. They must
-// learn of new rules in time all the same.
+// The store is lost for one VM of a small fleet, which may be the one that reads for the
+// others. The others must still learn of new rules in time.
 TEST(platform_relays, small_fleet_learns_of_rules_while_one_vm_has_lost_the_store)
 {
     entry_world   world({.daemons = 3, .relayed = true});
--- a/tests/unit/fleet_orders_test.cpp
+++ b/tests/unit/fleet_orders_test.cpp
@@ -1,4 +1,5 @@
-// Orders of the holder against a platform that is silent, and announcements of changes.
+// Orders of the lease holder to a platform that doesn't respond, and announcements of
+// role changes.
 #include "serving/fleet_orders.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -11,7 +12,7 @@
 namespace
 {
 
-/// Counts what it is asked, and answers all calls alike.
+/// Records the orders, and gives every call the same outcome.
 class counting_duties
 {
 public:
@@ -39,7 +40,7 @@
     std::vector<std::string>  changed;
 };
 
-/// A holder of the lease over twelve engines, four of which read prompts.
+/// A holder of the lease with twelve engines, four of them for prefill.
 struct holder
 {
     holder() : state(entry_settings{.name = "vm"}, "vm/1"), log("vm/1", {}, {})
@@ -73,7 +74,7 @@
         loop.run();
     }
 
-    /// Prompts arrive that keep ten engines reading.
+    /// Adds a demand for prefill that needs ten engines.
     void overload()
     {
         auto&      meter = state.meters["m"];
@@ -91,9 +92,9 @@
     fleet_orders<counting_duties> fleet{state, duties, log, duty_times{}};
 };
 
-// The platform takes orders and never answers. Each unanswered call takes half a second
-// of a lease of three; a pass that tries all data centres would let it run out, and the
-// next holder's too.
+// The platform accepts connections and never responds. Each such call takes half a second
+// of a lease of three seconds, so a pass that tries all data centres would outlast the
+// lease, and that of the next holder too.
 TEST(fleet_orders, pass_ends_with_the_first_call_that_gets_no_answer)
 {
     holder vm;
@@ -105,7 +106,7 @@
     EXPECT_EQ(vm.duties.orders.size(), 6U);
 }
 
-// Nobody may call without the lease.
+// Guards against calls of a VM that has lost the lease.
 TEST(fleet_orders, nothing_is_ordered_without_the_lease)
 {
     holder vm;
@@ -116,9 +117,8 @@
     EXPECT_TRUE(vm.duties.changed.empty());
 }
 
-// An engine that was changed half a minute ago is to be changed again. Its old
-// announcement doesn't count: other VMs would go on sending calls there, and it would
-// turn them away.
+// An engine whose role changed 20 seconds ago is to change again. If its old announcement
+// counted, other VMs would go on sending calls to it, which it would refuse.
 TEST(fleet_orders, an_earlier_announcement_does_not_count_for_a_new_change)
 {
     holder vm;
--- a/tests/unit/topic_mirror_test.cpp
+++ b/tests/unit/topic_mirror_test.cpp
@@ -1,4 +1,4 @@
-// What a VM holds of a topic for those that ask it.
+// Records of a topic that a VM holds for the VMs that query it.
 #include "serving/topic_mirror.hpp"
 
 #include <gtest/gtest.h>
@@ -32,8 +32,9 @@
     EXPECT_FALSE(mirror.read(14));
 }
 
-// The store dropped its history while this VM was away, so it reads on further up. A
-// reader from before the gap must not be told that nothing happened in it.
+// The store dropped records while this VM was away, so the VM continues at a later
+// offset. A reader from before the gap must not get the impression that nothing changed
+// in it.
 TEST(topic_mirror, reader_from_before_a_gap_is_sent_to_the_store)
 {
     topic_mirror mirror;
@@ -43,8 +44,8 @@
     EXPECT_EQ(mirror.read(5)->records, std::vector<std::string>{"f"});
 }
 
-// An operator withdraws a key while a relay's read is on its way. Knowledge is as old as
-// the moment at which the read was sent, not as its answer.
+// An operator withdraws a key while the read of a relay is in flight. The age counts from
+// the sending of that read, not from its response.
 TEST(topic_mirror, age_counts_from_the_sending_of_the_newest_answered_read)
 {
     topic_mirror mirror;
