--- a/src/serving/digest_link.hpp
+++ b/src/serving/digest_link.hpp
@@ -25,8 +25,7 @@
 namespace marigoldcrank
 {
 
-/// The parts of a digest besides the load. Relays pass them on or drop them, but never
-/// add them up.
+/// The parts of a digest besides the load, which relays don't sum up.
 struct digest_extras
 {
     std::vector<crash_news>       crashes;
@@ -34,7 +33,7 @@
     std::vector<prefix_news>      prefixes;
     std::map<std::string, millis> avoided; // by server: remaining backoff
     std::string                   records; // address where the sender answers other VMs
-    std::vector<std::string> heard; // such addresses of VMs heard lately by the sender
+    std::vector<std::string> heard; // the same of VMs that the sender has heard lately
 };
 
 /// Publishes to all subscribers and subscribes to the given peers. Digests for a peer
--- a/src/serving/duty_worker.hpp
+++ b/src/serving/duty_worker.hpp
@@ -160,12 +160,12 @@
             co_await store_.append(usage_lane, usage_topic(), texts, std::nullopt);
         usage_lane_busy_ = false;
         auto const* offset = std::get_if<std::uint64_t>(&result);
-        bool const  taken = offset != nullptr;
-        if (taken && !usage_started_)
+        bool const  appended = offset != nullptr;
+        if (appended && !usage_started_)
         {
             start_usage_log(*offset > recent_records ? *offset - recent_records : 0);
         }
-        if (!taken)
+        if (!appended)
         {
             // The relay of a member also appends the member's counts, which it has from
             // digests, so a member can retry less often.
@@ -173,14 +173,14 @@
             append_gate_.limit(member ? patient_retries : retry_gate_options{});
             append_gate_.failed(boot_clock::now());
         }
-        if (taken)
+        if (appended)
         {
             append_gate_.succeeded();
             pending_.erase(pending_.begin(),
                            pending_.begin() + static_cast<std::ptrdiff_t>(count));
         }
-        state_.counters.add(taken ? "usage_appends_total"
-                                  : "usage_append_failures_total");
+        state_.counters.add(appended ? "usage_appends_total"
+                                     : "usage_append_failures_total");
     }
 
     /// Drops counts that are in the log already. Otherwise, after an outage of the store,
@@ -442,7 +442,7 @@
             bool const due = late || state_.usage_known.complete(window);
             // The log may lose a seal when it is trimmed. Windows that this VM has
             // reported, or that the newest renewal lists as reported, are remembered
-            // besides, so that no window is reported with two different figures.
+            // separately, so that no window is reported with two different figures.
             bool const sealed = log_.sealed().count(window) > 0 || is_reported(window);
             bool const known = state_.usage_known.known(window);
             // Windows without calls are sealed too, since a window that isn't reported
--- a/src/serving/entry_node.hpp
+++ b/src/serving/entry_node.hpp
@@ -36,8 +36,8 @@
         shared_.limit_age(Codec::rules_topic(), max_rules_age);
     }
 
-    /// Serves until a signal to stop and the drain that follows. Throws
-    /// boost::system::system_error if it can't listen on an address.
+    /// Serves until a signal to stop, then drains. Throws boost::system::system_error if
+    /// it can't listen on an address.
     void run()
     {
         listen();
@@ -118,10 +118,10 @@
                               [this] { return state_.log.dropped(); });
     }
 
-    /// Starts the readers of the store, after the first start only once other VMs are
-    /// known. When all VMs of a large fleet start at once, each would otherwise list and
-    /// read every topic before it knows which VM to query. Callers come seconds after
-    /// such a start, so there is time to wait.
+    /// Starts the readers of the store; on a first start only once other VMs are known,
+    /// or `max_discovery` has passed. When all VMs of a large fleet start at once, each
+    /// would otherwise list and read every topic before it knows which VM to query.
+    /// Callers come seconds after such a start, so there is time to wait.
     boost::asio::awaitable<void> follow_store()
     {
         auto const began = boot_clock::now();
@@ -170,7 +170,7 @@
             shared_.read_directly(worker_.duty_topic(), state_.holds_duties);
             shared_.passes_on(state_.serves_peers);
             shared_.relays_used(state_.relays_used());
-            co_await loop_sleep(digest_pause);
+            co_await loop_sleep(digest_interval);
         }
     }
 
@@ -240,7 +240,7 @@
     void reload()
     {
         auto const now = boot_clock::now();
-        bool const taken = leaf::try_handle_all(
+        bool const loaded = leaf::try_handle_all(
             [&]() -> leaf::result<bool>
             {
                 BOOST_LEAF_AUTO(value, load_entry_settings(file_));
@@ -248,7 +248,7 @@
                 return true;
             },
             [] { return false; });
-        state_.log.write(event_line{"reload"}.add("taken", taken ? 1 : 0), now);
+        state_.log.write(event_line{"reload"}.add("taken", loaded ? 1 : 0), now);
     }
 
     /// Reports not ready at once, but serves until the balancer has noticed. Then it
--- a/src/serving/entry_state.cpp
+++ b/src/serving/entry_state.cpp
@@ -21,14 +21,14 @@
 //       VMs are counted by the others only after their first window
 constexpr std::int64_t known_vms_parts = 4;
 constexpr std::int64_t assumed_vms_parts = 5;
-// 100   VMs assumed while none is known; larger than deployments are
+// 100   VMs assumed while none is known; more than present deployments have
 constexpr std::int64_t default_vms = 100;
 // 500   ms; a VM without a digest for so long, the time of three digests and a late one,
 //       is taken for silent
 constexpr millis peer_timeout{500};
 // 450   ms; age of a load that a member sends to its relay, this to another relay, and
 //       that one to its members
-constexpr millis relayed_digest_age = digest_pause * 3;
+constexpr millis relayed_digest_age = digest_interval * 3;
 
 } // namespace
 
@@ -103,7 +103,7 @@
 
 millis entry_state::digest_age() const
 {
-    return relays_used() ? relayed_digest_age : digest_pause;
+    return relays_used() ? relayed_digest_age : digest_interval;
 }
 
 bool entry_state::relays_used() const
--- a/src/serving/entry_state.hpp
+++ b/src/serving/entry_state.hpp
@@ -2,8 +2,8 @@
 //
 // Index: 1 rules_view, 2 entry_state, 3 load_share
 //
-// Used only on the thread of the event loop, so it needs no locks. An entry VM's quarter
-// of a core feeds one such thread.
+// Used only on the thread of the event loop, so it needs no locks. An entry VM has a
+// quarter of a core, which suffices for one such thread.
 #ifndef MARIGOLDCRANK_SERVING_ENTRY_STATE_HPP
 #define MARIGOLDCRANK_SERVING_ENTRY_STATE_HPP
 
@@ -34,9 +34,9 @@
 namespace marigoldcrank
 {
 
-// 150   ms; between digests. An engine reads a prompt of 8,000 tokens in that time, so
-//       placement must not use much older loads
-inline constexpr millis digest_pause{150};
+// 150   ms; between digests. The prefill of 8,000 tokens takes as long, so placement must
+//       not use much older loads
+inline constexpr millis digest_interval{150};
 
 class quota_gate;
 
--- a/src/serving/record_link.cpp
+++ b/src/serving/record_link.cpp
@@ -45,7 +45,7 @@
 {
     std::string                     address;
     std::unique_ptr<watched_socket> socket;
-    boot_clock::time_point          avoided_until{}; // not queried before
+    boot_clock::time_point          avoided_until{}; // not queried until then
     millis                          backoff = min_backoff;
 };
 
@@ -152,22 +152,22 @@
     asio::awaitable<std::optional<wire::records_answer>> fetch(relay_peer&   relay,
                                                                records_query query)
     {
-        auto const        asked = ++number;
-        auto const        asking = std::make_shared<pending_query>(loop);
+        auto const        query_number = ++number;
+        auto const        pending = std::make_shared<pending_query>(loop);
         wire::records_ask message;
-        message.set_number(asked);
+        message.set_number(query_number);
         message.set_topic(query.topic);
         message.set_from(query.from);
         message.set_wait_ms(static_cast<std::uint32_t>(query.wait.count()));
         message.set_oldest_ms(static_cast<std::uint32_t>(query.max_age.count()));
-        pending_queries[asked] = asking;
-        asking->timer.expires_after(query.wait + reply_margin);
+        pending_queries[query_number] = pending;
+        pending->timer.expires_after(query.wait + reply_margin);
         send(relay, message);
         boost::system::error_code error; // timer cancelled by the reply, or expired
-        co_await asking->timer.async_wait(
+        co_await pending->timer.async_wait(
             asio::redirect_error(asio::use_awaitable, error));
-        pending_queries.erase(asked);
-        co_return std::move(asking->answer);
+        pending_queries.erase(query_number);
+        co_return std::move(pending->answer);
     }
 
     void receive_reply(std::vector<zmq::message_t>& parts)
@@ -215,7 +215,8 @@
 
     void reply_other(std::vector<zmq::message_t> const& parts)
     {
-        auto const answer = others ? others(parts.back().to_string()) : std::string{};
+        auto const answer =
+            handle_other ? handle_other(parts.back().to_string()) : std::string{};
         if (!answer.empty())
         {
             send_reply(parts.front().to_string(), answer);
@@ -285,7 +286,7 @@
     std::uint64_t                                           number = 0;
     bool stale = false;  // the relay that replied last has lost the store
     bool serves = false; // other VMs query this one
-    record_link::other_answers          others;
+    record_link::other_query_handler    handle_other;
     std::map<std::string, topic_mirror> mirrors;
     std::list<waiting_query>            waiting;
     watched_socket                      server;
@@ -325,14 +326,14 @@
     }
 }
 
-void record_link::serve(bool asked)
+void record_link::serve(bool queried)
 {
-    state_->serves = asked;
+    state_->serves = queried;
 }
 
-void record_link::answer_others(other_answers answer)
+void record_link::answer_others(other_query_handler answer)
 {
-    state_->others = std::move(answer);
+    state_->handle_other = std::move(answer);
 }
 
 bool record_link::has_relays() const
--- a/src/serving/record_link.hpp
+++ b/src/serving/record_link.hpp
@@ -60,12 +60,12 @@
 
     /// Sets whether other VMs query this one. If not, records from relays aren't kept for
     /// them.
-    void serve(bool asked);
+    void serve(bool queried);
 
     /// Handles queries of another kind that arrive at the same address. An empty reply
     /// isn't sent.
-    using other_answers = std::function<std::string(std::string const& question)>;
-    void answer_others(other_answers answer);
+    using other_query_handler = std::function<std::string(std::string const& question)>;
+    void answer_others(other_query_handler answer);
 
     /// Whether there are relays, silent or not.
     bool has_relays() const;
--- a/src/serving/shared_store.hpp
+++ b/src/serving/shared_store.hpp
@@ -54,9 +54,9 @@
     /// others is slow, all of them would find its records too old, read the store, use up
     /// its bandwidth and go on like that. Only VMs that pass records on therefore enforce
     /// the maximum age; the others accept older records if no relay has newer ones.
-    void passes_on(bool asked)
+    void passes_on(bool queried)
     {
-        passes_on_ = asked;
+        passes_on_ = queried;
     }
 
     /// Sets whether digests go through relays. If not, the fleet is small, and each VM
@@ -87,9 +87,9 @@
             // The append was conditional, so no record lies between, and the VMs that
             // query this one can get the new records from here. A holder reads its topic
             // only after a failure, so otherwise they would all read the store.
-            log_chunk const own{
+            log_chunk const appended{
                 .from = *offset, .end = *offset + records.size(), .records = records};
-            link_->merge(topic, own, sent);
+            link_->merge(topic, appended, sent);
         }
         co_return result;
     }
@@ -132,9 +132,9 @@
 
     bool reads_via_relays(std::string const& topic) const
     {
-        bool const own = !relays_used_ && max_ages_.count(topic) > 0;
+        bool const reads_itself = !relays_used_ && max_ages_.count(topic) > 0;
         return link_ != nullptr && link_->has_relays() &&
-               direct_topics_.count(topic) == 0 && !own;
+               direct_topics_.count(topic) == 0 && !reads_itself;
     }
 
     boost::asio::awaitable<store_result<log_chunk>>
--- a/src/serving/store_followers.hpp
+++ b/src/serving/store_followers.hpp
@@ -52,7 +52,7 @@
     //       and theirs older by two waits of their own
     millis relay_wait{600};
     // 900   ms; between reads of the servers' entries, which change all the time. A
-    //       leaving server gets no new work later than two seconds after its notice
+    //       leaving server must get no new work two seconds after its notice
     millis servers_pause{900};
     // 150 to 800 ms; pause after a failed read, doubled each time
     millis min_retry{150};
@@ -74,8 +74,8 @@
     {
         auto const pause = next_;
         next_ = std::min(next_ * 2, options_.max_retry);
-        // Jitter of half to all of the pause, so that VMs that failed together don't
-        // retry together.
+        // Random delay between half of the pause and all of it, so that VMs that failed
+        // together don't retry together.
         return pause / 2 +
                millis{static_cast<std::int64_t>(
                    ticket % static_cast<std::uint64_t>(pause.count() / 2 + 1))};
--- a/src/serving/watched_socket.hpp
+++ b/src/serving/watched_socket.hpp
@@ -43,9 +43,10 @@
 private:
     void wait_readable();
 
-    zmq::socket_t                         socket_;
-    boost::asio::posix::stream_descriptor readable_; // owned by `socket_`
-    handler                               on_message_;
+    zmq::socket_t socket_;
+    boost::asio::posix::stream_descriptor
+            readable_; // its descriptor belongs to `socket_`
+    handler on_message_;
 };
 
 std::string zmq_endpoint(std::string const& address);
