--- a/src/serving/entry_state.hpp
+++ b/src/serving/entry_state.hpp
@@ -34,8 +34,8 @@
 namespace marigoldcrank
 {
 
-// 150   ms; between digests. The prefill of 8,000 tokens takes as long, so placement must
-//       not use much older loads
+// 150   ms; between digests. The prefill of a prompt of 8,000 tokens takes as long, so
+//       placement must not use much older loads
 inline constexpr millis digest_interval{150};
 
 class quota_gate;
@@ -94,6 +94,7 @@
     /// Retry budget for a service: this VM's share of the deployment's budget.
     retry_budget& budget(std::string const& service);
 
+    /// Random number for decisions that must differ between VMs, such as ties.
     std::uint64_t ticket();
 
     /// Options for the placement of model calls, from the settings.
@@ -122,7 +123,7 @@
     true_clock                         day;
     crash_watch                        crashes;
     std::map<std::string, boot_clock::time_point>
-                 last_heard; // VMs, by the address where they answer
+                 last_heard; // by the address where a VM answers
     fleet_share  fleet;
     quota_gate*  quotas = nullptr;        // null: no VM can be queried yet
     std::int64_t known_vms = 0;           // VMs that appended usage lately; 0: none
--- a/src/serving/record_link.hpp
+++ b/src/serving/record_link.hpp
@@ -64,7 +64,7 @@
 
     /// Handles queries of another kind that arrive at the same address. An empty reply
     /// isn't sent.
-    using other_query_handler = std::function<std::string(std::string const& question)>;
+    using other_query_handler = std::function<std::string(std::string const& query)>;
     void answer_others(other_query_handler answer);
 
     /// Whether there are relays, silent or not.
--- a/tests/platform/beliefs_test.cpp
+++ b/tests/platform/beliefs_test.cpp
@@ -70,7 +70,7 @@
 
 // The store drops its records while a VM follows it. The VM must read the newest records
 // again.
-TEST(platform_beliefs, rules_are_found_again_after_the_history_is_gone)
+TEST(platform_beliefs, rules_are_read_again_after_the_store_dropped_records)
 {
     entry_world world;
     world.store().trouble(store_trouble::refusing);
@@ -96,7 +96,7 @@
 // While the store is away, servers can't renew their entries, and the entries expire. If
 // the VM applied the list as soon as the store is back, it would have no servers and
 // refuse every call, although all servers are alive.
-TEST(platform_beliefs, servers_outlive_the_lapse_of_their_entries)
+TEST(platform_beliefs, servers_stay_in_use_after_their_entries_expire)
 {
     entry_world world;
     world.store().trouble(store_trouble::refusing);
@@ -153,7 +153,7 @@
 
 // A VM is stopped while it relays a stream. It must report not ready to the balancer,
 // relay the stream to its end, and then exit by itself.
-TEST(platform_beliefs, planned_stop_cuts_no_call)
+TEST(platform_beliefs, planned_stop_interrupts_no_call)
 {
     entry_world       world;
     std::atomic<bool> go_on{false};
@@ -330,8 +330,7 @@
                             1 - holder),
                   200);
     }
-    std::this_thread::sleep_for(
-        milliseconds{700}); // one digest in three has usage counts
+    std::this_thread::sleep_for(milliseconds{700}); // one digest in three has usage
     world.daemon(1 - holder).signal(SIGKILL);
     auto const billed = [&]
     {
--- a/tests/platform/quotas_test.cpp
+++ b/tests/platform/quotas_test.cpp
@@ -113,7 +113,7 @@
 
 // The VM that owns the quota is killed. The others must neither stop serving the
 // workspace nor admit unlimited calls.
-TEST(platform_quotas, quota_outlives_the_vm_that_kept_it)
+TEST(platform_quotas, quota_outlives_its_owner_vm)
 {
     entry_world world{three_with(small_quota)};
     ASSERT_TRUE(shares_settle(world));
@@ -145,8 +145,7 @@
     ASSERT_TRUE(eventually(
         [&] { return world.output(1).find("ev=quota_unreadable") != std::string::npos; },
         5000));
-    static_cast<void>(
-        call(world, 1, "large", "4000,4000")); // may run while the bucket is full
+    static_cast<void>(call(world, 1, "large", "4000,4000")); // may drain a full bucket
     EXPECT_EQ(call(world, 1, "large-too", "4000,4000").status, 429);
     world.configure_north(3, "{}");
     EXPECT_TRUE(eventually(
--- a/tests/platform/relays_test.cpp
+++ b/tests/platform/relays_test.cpp
@@ -83,7 +83,7 @@
 
 // The relay has lost the store and hasn't detected it yet. If a member took its old
 // records for fresh, a withdrawn key would go on working.
-TEST(record_link, answer_that_is_too_old_is_not_taken)
+TEST(record_link, reply_that_is_too_old_is_not_accepted)
 {
     linked_vms vms;
     vms.relay.merge("rules", one_record(), boot_clock::now() - millis{2500});
@@ -93,7 +93,7 @@
 
 // The store refuses the VM that reads for the others. They must then read the store
 // themselves, or leaving servers would get work for longer than their notice allows.
-TEST(record_link, answer_older_than_the_asker_allows_is_not_taken)
+TEST(record_link, reply_older_than_the_query_allows_is_not_accepted)
 {
     linked_vms    vms;
     records_query query{"servers", 8, millis{2000}};
@@ -107,7 +107,7 @@
 
 // The first relay has old records, the second one has read the store itself. Members must
 // learn of a leaving server from the second.
-TEST(record_link, fresher_answer_of_the_next_relay_is_taken)
+TEST(record_link, fresher_reply_of_the_next_relay_is_accepted)
 {
     linked_vms  vms;
     auto const  address = "127.0.0.1:" + std::to_string(vms.ports.next());
@@ -124,7 +124,7 @@
 }
 
 // Hundreds of members must not all read the store because their relays are slow once.
-TEST(record_link, older_answer_is_taken_where_nobody_knows_better)
+TEST(record_link, older_reply_is_accepted_if_no_relay_has_a_newer_one)
 {
     linked_vms vms;
     vms.relay.merge("servers", one_record(), boot_clock::now() - millis{1500});
@@ -137,7 +137,7 @@
 
 // Queries wait for a change at one VM after the other. If the waits added to the age of
 // the reply, keys would be refused although the store responds.
-TEST(record_link, the_time_a_question_waited_makes_its_answer_no_older)
+TEST(record_link, waiting_time_of_a_query_does_not_age_its_reply)
 {
     linked_vms vms;
     vms.relay.merge("rules", {.from = 8, .end = 8}, boot_clock::now());
@@ -148,7 +148,7 @@
 
 // A member that isn't queried by other VMs must not keep the records from its relay,
 // since nobody would read them.
-TEST(record_link, answers_of_relays_are_kept_by_vms_that_are_asked)
+TEST(record_link, relayed_records_are_kept_only_by_vms_that_are_queried)
 {
     linked_vms vms;
     auto       heard = one_record();
@@ -181,7 +181,7 @@
     EXPECT_FALSE(vms.member.relayed());
 }
 
-TEST(record_link, news_ends_the_wait)
+TEST(record_link, change_ends_the_wait)
 {
     linked_vms vms;
     vms.relay.merge("rules", {.from = 0, .end = 7}, boot_clock::now());
--- a/tests/unit/topic_mirror_test.cpp
+++ b/tests/unit/topic_mirror_test.cpp
@@ -19,7 +19,7 @@
     return {.from = from, .end = end, .records = std::move(records)};
 }
 
-TEST(topic_mirror, unbroken_reads_are_given_on)
+TEST(topic_mirror, consecutive_reads_are_joined)
 {
     topic_mirror mirror;
     mirror.merge(chunk(10, {"a", "b"}), at_ms(1));
@@ -55,7 +55,7 @@
     EXPECT_EQ(mirror.age(at_ms(2000)), millis{300});
 }
 
-TEST(topic_mirror, records_that_tell_nothing_keep_their_offsets)
+TEST(topic_mirror, records_without_a_change_keep_their_offsets)
 {
     topic_mirror mirror{[](std::string const& record)
                         {
@@ -67,7 +67,7 @@
     EXPECT_FALSE(mirror.has_changes(2));
 }
 
-TEST(topic_mirror, oldest_records_give_way)
+TEST(topic_mirror, oldest_records_are_dropped_at_the_limits)
 {
     topic_mirror mirror{{}, {.max_bytes = 100, .max_records = 3}};
     mirror.merge(chunk(0, {"a", "b", "c", "d", "e"}), at_ms(1));
