--- a/src/serving/fleet_orders.hpp
+++ b/src/serving/fleet_orders.hpp
@@ -1,6 +1,10 @@
-// What the holder of the duties orders: servers, and other roles for engines.
+// Orders of the VM that holds the lease: the number of servers, and role changes of
+// engines.
 //
-// Index: fleet_orders: act, announcements, servers, roles
+// Inputs are the rules, the server list and the demand at all VMs. Role changes are
+// announced in the duty log before they are ordered.
+//
+// Index: fleet_orders: send_orders, announcements, servers, roles
 #ifndef MARIGOLDCRANK_SERVING_FLEET_ORDERS_HPP
 #define MARIGOLDCRANK_SERVING_FLEET_ORDERS_HPP
 
@@ -19,7 +23,7 @@
 namespace marigoldcrank
 {
 
-/// Part of the duty worker, which owns the log of the duties and appends to it.
+/// Part of the duty worker, which owns the duty log and appends the announcements to it.
 template <duty_port Duties>
 class fleet_orders
 {
@@ -30,23 +34,24 @@
     {
     }
 
-    /// One pass, while the lease is held. Each call checks what is left of the lease.
-    boost::asio::awaitable<void> act()
+    /// Plans and sends the orders that are due, while the lease is held. Each call checks
+    /// the remaining time of the lease.
+    boost::asio::awaitable<void> send_orders()
     {
-        silent_ = false;
+        platform_silent_ = false;
         co_await order_servers();
         plan_roles();
         co_await send_role_orders();
     }
 
-    /// Announces of changes that no record tells of yet.
+    /// Announcements of the planned role changes that aren't in the log yet.
     std::vector<duty_record> announcements()
     {
         std::vector<duty_record> records;
         for (auto const& [id, change] : role_changes_)
         {
-            bool const told = announced(id, change);
-            if (!change.ordered && !told)
+            bool const logged = announced(id, change);
+            if (!change.ordered && !logged)
             {
                 records.push_back({.kind = duty_kind::change,
                                    .holder = state_.incarnation,
@@ -57,8 +62,9 @@
         return records;
     }
 
-    /// Engines that are about to change, or do, take no new work on any VM.
-    void share_changes()
+    /// Marks the engines with an announced or running role change; they get no new work
+    /// on any VM.
+    void update_changing()
     {
         auto const now = boot_clock::now();
         state_.changing.clear();
@@ -74,14 +80,14 @@
 private:
     static constexpr double milli = 1000;
 
-    /// The newest order for one kind of server of a service in a data centre.
+    /// The last order for one kind of server of a service in a data centre.
     struct last_order
     {
         std::int64_t           count = -1;
         boot_clock::time_point at{};
     };
 
-    /// A change that this VM has decided on as the holder.
+    /// A role change that this VM has planned as the holder.
     struct role_change
     {
         boot_clock::time_point planned{};
@@ -89,12 +95,12 @@
         bool                   ordered = false;
     };
 
-    /// Whether the log tells of this change, and not only of an earlier one of the
-    /// engine.
+    /// Whether the log has an announcement of this change, and not only of an earlier one
+    /// of the same engine.
     bool announced(std::string const& id, role_change const& change) const
     {
-        auto const told = log_.changing().find(id);
-        return told != log_.changing().end() && told->second.heard >= change.planned;
+        auto const logged = log_.changing().find(id);
+        return logged != log_.changing().end() && logged->second.heard >= change.planned;
     }
 
     boost::asio::awaitable<void> order_servers()
@@ -110,12 +116,13 @@
             fleet.count(count_fleet(value.name, state_.servers.servers()));
             fleet.want(wanted_servers(value), boot_clock::now());
             co_await send_server_orders(value);
-            // A refusal of cheap servers decides on those of full price at once.
+            // If cheap servers were refused, the second pass orders full-price ones at
+            // once.
             co_await send_server_orders(value);
         }
     }
 
-    /// Servers of a service that carry what callers ask; 0 if that isn't known.
+    /// Number of servers that the demand for a service needs; 0 if that isn't known.
     std::int64_t wanted_servers(service const& value)
     {
         return value.has_engines ? servers_for(need_of(value, split_engines(value.name)))
@@ -129,14 +136,14 @@
         for (auto const& order : orders)
         {
             auto const sender =
-                duty_authority(log_, state_.settings.name, times_.call_slack);
-            if (!sender || silent_)
+                duty_authority(log_, state_.settings.name, times_.min_lease_left);
+            if (!sender || platform_silent_)
             {
                 co_return;
             }
-            auto& last = orders_[{order.service, order.data_centre, order.cheap}];
+            auto& last = last_orders_[{order.service, order.data_centre, order.cheap}];
             if (last.count == order.count &&
-                boot_clock::now() - last.at < times_.order_again)
+                boot_clock::now() - last.at < times_.order_repeat)
             {
                 continue;
             }
@@ -163,7 +170,7 @@
                                  .add("epoch", static_cast<std::int64_t>(sender->epoch))
                                  .add("outcome", static_cast<std::int64_t>(outcome)),
                              now);
-            silent_ = silent_ || outcome == duty_outcome::no_answer;
+            platform_silent_ = platform_silent_ || outcome == duty_outcome::no_answer;
         }
     }
 
@@ -204,7 +211,7 @@
         }
     }
 
-    /// What callers ask of a service at all VMs, in engines.
+    /// Demand for a service at all VMs, in engines.
     role_need need_of(service const& value, std::vector<split_engine> const& engines)
     {
         if (engines.empty())
@@ -218,33 +225,37 @@
         return need;
     }
 
-    /// Orders whose announcement all VMs have had time to read.
+    /// Sends the role orders whose announcement all VMs have had time to read.
     boost::asio::awaitable<void> send_role_orders()
     {
         std::vector<std::pair<std::string, engine_role>> due;
         auto const                                       now = boot_clock::now();
         for (auto& [id, change] : role_changes_)
         {
-            bool const read = announced(id, change) &&
-                              now - log_.changing().at(id).heard >= times_.announce;
+            bool const read =
+                announced(id, change) &&
+                now - log_.changing().at(id).heard >= times_.announcement_delay;
             if (!change.ordered && read)
             {
                 change.ordered = true;
                 due.emplace_back(id, change.role);
             }
         }
-        std::erase_if(role_changes_, [&](auto const& entry)
-                      { return now - entry.second.planned > times_.change; });
+        std::erase_if(role_changes_,
+                      [&](auto const& entry) {
+                          return now - entry.second.planned > times_.role_change_timeout;
+                      });
         for (auto const& [id, role] : due)
         {
             auto const found = state_.servers.servers().find(id);
             auto const sender =
-                duty_authority(log_, state_.settings.name, times_.call_slack);
-            if (found == state_.servers.servers().end() || !sender || silent_)
+                duty_authority(log_, state_.settings.name, times_.min_lease_left);
+            if (found == state_.servers.servers().end() || !sender || platform_silent_)
             {
                 continue;
             }
-            auto const engine = found->second; // a copy: the list changes meanwhile
+            auto const engine =
+                found->second; // a copy, since the list may change during the call
             auto const outcome = co_await duties_.order_role(*sender, engine, role);
             state_.log.write(event_line{"role_order"}
                                  .add("server", id)
@@ -252,17 +263,17 @@
                                  .add("epoch", static_cast<std::int64_t>(sender->epoch))
                                  .add("outcome", static_cast<std::int64_t>(outcome)),
                              boot_clock::now());
-            silent_ = silent_ || outcome == duty_outcome::no_answer;
+            platform_silent_ = platform_silent_ || outcome == duty_outcome::no_answer;
         }
     }
 
     bool in_change(announced_change const& change, boot_clock::time_point now) const
     {
-        return now - change.heard < times_.change;
+        return now - change.heard < times_.role_change_timeout;
     }
 
-    /// All engines of a service that stay, those in a change with the role they will
-    /// have.
+    /// All engines of a service that aren't leaving; those in a change with their future
+    /// role.
     std::vector<split_engine> split_engines(std::string const& name) const
     {
         std::vector<split_engine> engines;
@@ -276,13 +287,13 @@
             split_engine each{.server = &server, .role = server.role};
             auto const   load = state_.loads.find(id);
             each.running = load == state_.loads.end() ? 0 : load->second.running;
-            auto const told = log_.changing().find(id);
-            if (told != log_.changing().end())
+            auto const logged = log_.changing().find(id);
+            if (logged != log_.changing().end())
             {
-                each.changed = told->second.heard;
-                each.role = !in_change(told->second, now) ? server.role
-                            : told->second.prefill        ? engine_role::prefill
-                                                          : engine_role::decode;
+                each.changed = logged->second.heard;
+                each.role = !in_change(logged->second, now) ? server.role
+                            : logged->second.prefill        ? engine_role::prefill
+                                                            : engine_role::decode;
             }
             auto const planned = role_changes_.find(id);
             if (planned != role_changes_.end() && !planned->second.ordered)
@@ -299,11 +310,11 @@
     Duties&                                                          duties_;
     duty_log const&                                                  log_;
     duty_times                                                       times_;
-    std::map<std::tuple<std::string, std::string, bool>, last_order> orders_;
+    std::map<std::tuple<std::string, std::string, bool>, last_order> last_orders_;
     std::map<std::string, fleet_state> fleets_;       // by service
     std::map<std::string, role_change> role_changes_; // by engine
-    // A call of this pass got no answer: the lease must not run out over further ones.
-    bool silent_ = false;
+    // A call of this pass got no response; further calls could outlast the lease.
+    bool platform_silent_ = false;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/shared_store.hpp
+++ b/src/serving/shared_store.hpp
@@ -1,4 +1,4 @@
-// The store, whose records are read through other VMs in a large fleet.
+// Access to the store that reads records through other VMs in a large fleet.
 //
 // Index: shared_store
 #ifndef MARIGOLDCRANK_SERVING_SHARED_STORE_HPP
@@ -15,54 +15,54 @@
 namespace marigoldcrank
 {
 
-/// Reads are asked of relays while there are any, else of the store, and then kept for
-/// VMs that ask this one. Appends and whole listings always go to the store.
+/// Reads go to relays while there are any, else to the store. The records are then kept
+/// for the VMs that query this one. Appends and complete listings always go to the store.
 template <log_store_port Store>
 class shared_store
 {
 public:
     explicit shared_store(Store& store) : store_(store) {}
 
-    /// Without a link every read goes to the store. The link must outlive all calls.
-    void share(record_link* link)
+    /// Sets the link to the relays; null sends every read to the store. The link must
+    /// outlive all calls.
+    void set_link(record_link* link)
     {
         link_ = link;
     }
 
-    /// Reads of `topic` go to the store while `direct`: a VM that appends at its end must
-    /// know that end as it is now.
+    /// Sends reads of `topic` to the store while `direct`: a VM that appends at the end
+    /// of the topic must know its current end.
     void read_directly(std::string const& topic, bool direct)
     {
         if (direct)
         {
-            direct_.insert(topic);
+            direct_topics_.insert(topic);
         }
         else
         {
-            direct_.erase(topic);
+            direct_topics_.erase(topic);
         }
     }
 
-    /// Answers of other VMs for `topic` count only up to this age, at a VM that passes
-    /// them on.
-    void limit_age(std::string const& topic, millis oldest)
+    /// Sets the maximum age of relayed records of `topic` at a VM that passes them on.
+    void limit_age(std::string const& topic, millis max_age)
     {
-        oldest_[topic] = oldest;
+        max_ages_[topic] = max_age;
     }
 
-    /// Whether other VMs ask this one. Load answered: the VM that reads for hundreds of
-    /// others is slow for once. If all found its answers too old and read the store,
-    /// they would use up its bandwidth and stay at it; so only the few do that the
-    /// others hear from.
-    void passes_on(bool asked)
+    /// Sets whether other VMs query this one. When the VM that reads for hundreds of
+    /// others is slow, all of them would find its records too old, read the store, use up
+    /// its bandwidth and go on like that. Only VMs that pass records on therefore enforce
+    /// the maximum age; the others accept older records if no relay has newer ones.
+    void passes_on(bool queried)
     {
-        passes_on_ = asked;
+        passes_on_ = queried;
     }
 
-    /// Whether digests go through relays. If not, the fleet is small: topics with a limit
-    /// of age are read by each VM for itself. Failure guarded against: the store turns
-    /// away the VM that reads for the others, and they use a leaving server, or rules
-    /// that have been replaced, for longer than is allowed.
+    /// Sets whether digests go through relays. If not, the fleet is small, and each VM
+    /// reads topics with a maximum age itself. Otherwise, when the store refuses the VM
+    /// that reads for the others, they would use a leaving server, or rules that have
+    /// been replaced, for longer than is allowed.
     void relays_used(bool used)
     {
         relays_used_ = used;
@@ -84,12 +84,12 @@
         tally_.of(topic).failed += offset == nullptr ? 1 : 0;
         if (link_ != nullptr && offset != nullptr && at)
         {
-            // Nothing was appended unseen, so VMs that ask this one learn of it here. A
-            // holder reads its topic after a failure only, and they would all read the
-            // store for themselves.
-            log_chunk const own{
+            // The append was conditional, so no record lies between, and the VMs that
+            // query this one can get the new records from here. A holder reads its topic
+            // only after a failure, so otherwise they would all read the store.
+            log_chunk const appended{
                 .from = *offset, .end = *offset + records.size(), .records = records};
-            link_->absorb(topic, own, sent);
+            link_->merge(topic, appended, sent);
         }
         co_return result;
     }
@@ -105,18 +105,18 @@
     read(unsigned lane, std::string const& topic, std::uint64_t from, millis wait)
     {
         auto const sent = boot_clock::now();
-        if (asks_relays(topic))
+        if (reads_via_relays(topic))
         {
-            wait = std::min(wait, relayed_wait);
+            wait = std::min(wait, max_relay_wait);
             records_query query{topic, from, wait};
-            auto const    limit = oldest_.find(topic);
-            query.oldest = limit == oldest_.end() ? query.oldest : limit->second;
-            query.or_older = !passes_on_;
-            auto answer = co_await link_->ask(std::move(query));
+            auto const    limit = max_ages_.find(topic);
+            query.max_age = limit == max_ages_.end() ? query.max_age : limit->second;
+            query.accept_older = !passes_on_;
+            auto answer = co_await link_->fetch(std::move(query));
             if (answer)
             {
                 ++tally_.of(topic).relayed;
-                link_->absorb(topic, *answer, sent - answer->age);
+                link_->merge(topic, *answer, sent - answer->age);
                 co_return std::move(*answer);
             }
         }
@@ -124,17 +124,17 @@
     }
 
 private:
-    // 700   ms; longest wait for news at a relay. What a member knows is no older than
-    //       this wait, the same of its relay and 600 ms of the fleet's reader: 2 s, of
-    //       the 4 s after which keys aren't believed any more. The rest is for a silent
-    //       relay and a read of the store in its place
-    static constexpr millis relayed_wait{700};
+    // 700   ms; longest wait for new records at a relay. The records of a member are no
+    //       older than this wait, the same wait of its relay and 600 ms of the VM that
+    //       reads for the fleet: 2 s of the 4 s after which keys are no longer accepted.
+    //       The rest is for a silent relay and the read of the store that replaces it
+    static constexpr millis max_relay_wait{700};
 
-    bool asks_relays(std::string const& topic) const
+    bool reads_via_relays(std::string const& topic) const
     {
-        bool const own = !relays_used_ && oldest_.count(topic) > 0;
-        return link_ != nullptr && link_->has_relays() && direct_.count(topic) == 0 &&
-               !own;
+        bool const reads_itself = !relays_used_ && max_ages_.count(topic) > 0;
+        return link_ != nullptr && link_->has_relays() &&
+               direct_topics_.count(topic) == 0 && !reads_itself;
     }
 
     boost::asio::awaitable<store_result<log_chunk>>
@@ -142,32 +142,32 @@
     {
         auto const sent = boot_clock::now();
         auto&      gate = gates_.try_emplace(topic, patient_retries).first->second;
-        bool const lost = asks_relays(topic) && link_->relays_lost_store();
+        bool const lost = reads_via_relays(topic) && link_->relays_lost_store();
         if (gate.holds_back(lost, sent))
         {
             co_return store_failure{store_fault::unreachable, 0};
         }
         auto  result = co_await store_.read(lane, topic, from, wait);
         auto* chunk = std::get_if<log_chunk>(&result);
-        note(gate, result);
+        update_gate(gate, result);
         ++tally_.of(topic).reads;
         tally_.of(topic).failed += chunk == nullptr ? 1 : 0;
         if (chunk != nullptr)
         {
-            // The store answers without records only after the whole wait.
+            // The store returns no records only after the full wait.
             bool const waited =
                 chunk->records.empty() && boot_clock::now() - sent >= wait;
             chunk->age = waited ? -wait : millis{0};
         }
         if (link_ != nullptr && chunk != nullptr)
         {
-            link_->absorb(topic, *chunk, sent - chunk->age);
+            link_->merge(topic, *chunk, sent - chunk->age);
         }
         co_return result;
     }
 
-    /// History that is gone is an answer.
-    static void note(retry_gate& gate, store_result<log_chunk> const& result)
+    /// A read of trimmed records counts as answered.
+    static void update_gate(retry_gate& gate, store_result<log_chunk> const& result)
     {
         auto const* failure = std::get_if<store_failure>(&result);
         if (failure != nullptr && failure->fault != store_fault::trimmed)
@@ -182,11 +182,11 @@
 
     Store&                            store_;
     record_link*                      link_ = nullptr;
-    std::set<std::string>             direct_; // topics
-    std::map<std::string, millis>     oldest_; // by topic
+    std::set<std::string>             direct_topics_; // read from the store
+    std::map<std::string, millis>     max_ages_;      // by topic
     bool                              passes_on_ = false;
     bool                              relays_used_ = false;
-    std::map<std::string, retry_gate> gates_; // by topic; for reads beside the relays
+    std::map<std::string, retry_gate> gates_; // by topic; for reads of the store
     store_tally                       tally_;
 };
 
--- a/src/serving/store_followers.hpp
+++ b/src/serving/store_followers.hpp
@@ -1,10 +1,11 @@
-// Follows what the operators and the servers write into the store.
+// Follows the topics that the operators and the servers write into the store.
 //
 // Index: 1 store_codec, 2 follow_options, 3 rules_follower, 4 servers_follower
 //
-// Both begin with the newest record of each key and then read on; when the whole system
-// starts, with the first record of all, which other VMs hold too. Records may be dropped
-// from the history at any time; then the newest ones are read again.
+// Both followers start with the newest record of each key and then read on. When the
+// whole system starts for the first time, they start with the first record, which other
+// VMs have too. The store may drop old records at any time; then the followers read the
+// newest ones again.
 #ifndef MARIGOLDCRANK_SERVING_STORE_FOLLOWERS_HPP
 #define MARIGOLDCRANK_SERVING_STORE_FOLLOWERS_HPP
 
@@ -17,7 +18,7 @@
 namespace marigoldcrank
 {
 
-/// Names and forms of the topics that others write.
+/// Names of the topics that others write, and parsers for their records.
 template <class Codec>
 concept store_codec = requires(std::string const& text, std::uint64_t offset)
 {
@@ -43,38 +44,38 @@
 
 struct follow_options
 {
-    // 1500  ms; longest a read for rules waits at the store. Keys are believed for some
-    //       seconds from the sending of the last answered read, so two of these and a
-    //       second try on a new connection must fit into that time.
+    // 1500  ms; longest wait for rules at the store. Keys are accepted for some seconds
+    //       from the sending of the last answered read, so two of these waits and a
+    //       second attempt on a new connection must fit into that time
     millis rules_wait{1500};
-    // 600   ms; the same where other VMs ask this one: what it knows is so old at the
-    //       most, and theirs by two waits of their own more
+    // 600   ms; the same at a VM that other VMs query. Its rules are that old at most,
+    //       and theirs older by two waits of their own
     millis relay_wait{600};
-    // 900   ms; pause between reads of the servers' entries, which change all the time.
-    //       A leaving server gets no new work within two seconds of its notice.
+    // 900   ms; between reads of the servers' entries, which change all the time. A
+    //       leaving server must get no new work two seconds after its notice
     millis servers_pause{900};
-    // 150 to 800  ms; pause after a failed read, doubled each time
-    millis first_retry{150};
-    millis longest_retry{800};
+    // 150 to 800 ms; pause after a failed read, doubled each time
+    millis min_retry{150};
+    millis max_retry{800};
 
     bool operator==(follow_options const&) const = default;
 };
 
-/// Pause before the next try of a failing read.
-class retry_pause
+/// Exponential backoff with jitter for a failing read.
+class retry_backoff
 {
 public:
-    explicit retry_pause(follow_options const& options)
-        : options_(options), next_(options.first_retry)
+    explicit retry_backoff(follow_options const& options)
+        : options_(options), next_(options.min_retry)
     {
     }
 
-    millis take(std::uint64_t ticket)
+    millis next(std::uint64_t ticket)
     {
         auto const pause = next_;
-        next_ = std::min(next_ * 2, options_.longest_retry);
-        // Spread over half to whole, so that VMs that failed together don't return
-        // together.
+        next_ = std::min(next_ * 2, options_.max_retry);
+        // Random delay between half of the pause and all of it, so that VMs that failed
+        // together don't retry together.
         return pause / 2 +
                millis{static_cast<std::int64_t>(
                    ticket % static_cast<std::uint64_t>(pause.count() / 2 + 1))};
@@ -82,7 +83,7 @@
 
     void reset()
     {
-        next_ = options_.first_retry;
+        next_ = options_.min_retry;
     }
 
 private:
@@ -95,8 +96,8 @@
 {
 public:
     rules_follower(entry_state& state, Store& store, follow_options options = {})
-        : state_(state), store_(store), options_(options), pause_(options),
-          known_(state.settings.first_start)
+        : state_(state), store_(store), options_(options), backoff_(options),
+          synced_(state.settings.first_start)
     {
     }
 
@@ -109,13 +110,13 @@
             if (!failure)
             {
                 state_.view.read_sent = std::max(state_.view.read_sent, sent - age_);
-                note_reachable(true, store_fault::unreachable);
-                pause_.reset();
+                log_reachability(true, store_fault::unreachable);
+                backoff_.reset();
                 continue;
             }
-            known_ = known_ && failure->fault != store_fault::trimmed;
-            note_reachable(false, failure->fault);
-            co_await loop_sleep(pause_.take(state_.ticket()));
+            synced_ = synced_ && failure->fault != store_fault::trimmed;
+            log_reachability(false, failure->fault);
+            co_await loop_sleep(backoff_.next(state_.ticket()));
         }
     }
 
@@ -124,7 +125,7 @@
 
     boost::asio::awaitable<std::optional<store_failure>> next_read()
     {
-        return known_ ? read_on() : read_newest();
+        return synced_ ? read_updates() : read_newest();
     }
 
     boost::asio::awaitable<std::optional<store_failure>> read_newest()
@@ -141,23 +142,24 @@
             auto const& page = std::get<keyed_page>(result);
             for (auto const& record : page.records)
             {
-                take(record);
+                apply(record);
             }
-            next_ =
-                after.empty() ? page.end : next_; // later pages may miss changes to it
+            // Later pages may lack changes up to their end, so reading goes on from the
+            // end of the first one.
+            next_ = after.empty() ? page.end : next_;
             if (!page.more || page.records.empty())
             {
-                known_ = true;
+                synced_ = true;
                 co_return std::nullopt;
             }
             after = page.records.back().key;
         }
     }
 
-    boost::asio::awaitable<std::optional<store_failure>> read_on()
+    boost::asio::awaitable<std::optional<store_failure>> read_updates()
     {
-        bool const asked = state_.relays && state_.relays_used();
-        auto const longest = asked ? options_.relay_wait : options_.rules_wait;
+        bool const answers_peers = state_.serves_peers && state_.relays_used();
+        auto const longest = answers_peers ? options_.relay_wait : options_.rules_wait;
         auto const wait = lost_ ? millis{0} : longest;
         auto       result = co_await store_.read(lane, Codec::rules_topic(), next_, wait);
         if (auto const* failure = std::get_if<store_failure>(&result))
@@ -170,15 +172,15 @@
         {
             if (auto const record = Codec::keyed(chunk.records[at], chunk.from + at))
             {
-                take(*record);
+                apply(*record);
             }
         }
         next_ = chunk.from + chunk.records.size();
         co_return std::nullopt;
     }
 
-    /// A version only ever gives way to a newer one, whatever order records are read in.
-    void take(keyed_record const& record)
+    /// Applies only newer versions, in whatever order records are read.
+    void apply(keyed_record const& record)
     {
         if (record.key != Codec::rules_key() || !record.value)
         {
@@ -210,7 +212,8 @@
         state_.view.rules = std::make_shared<serving_rules const>(std::move(*rules));
     }
 
-    /// A quota that can't be read must not set its workspace free.
+    /// Keeps the last quota where a new one is unreadable, so that its workspace doesn't
+    /// become unlimited.
     void keep_quotas(serving_rules& rules)
     {
         auto const none = std::make_shared<serving_rules const>();
@@ -225,7 +228,7 @@
         }
     }
 
-    void note_reachable(bool reachable, store_fault fault)
+    void log_reachability(bool reachable, store_fault fault)
     {
         if (lost_ == !reachable)
         {
@@ -243,10 +246,10 @@
     entry_state&   state_;
     Store&         store_;
     follow_options options_;
-    retry_pause    pause_;
+    retry_backoff  backoff_;
     std::uint64_t  next_ = 0;
-    millis         age_{0}; // of the newest answer when it was asked for
-    bool           known_;  // `next_` continues what has been read
+    millis         age_{0}; // age of the last chunk when its read was sent
+    bool           synced_; // `next_` continues the last read
     bool           lost_ = false;
 };
 
@@ -255,8 +258,8 @@
 {
 public:
     servers_follower(entry_state& state, Store& store, follow_options options = {})
-        : state_(state), store_(store), options_(options), pause_(options),
-          known_(state.settings.first_start)
+        : state_(state), store_(store), options_(options), backoff_(options),
+          synced_(state.settings.first_start)
     {
     }
 
@@ -268,18 +271,18 @@
             auto const now = boot_clock::now();
             if (failure)
             {
-                known_ = known_ && failure->fault != store_fault::trimmed;
+                synced_ = synced_ && failure->fault != store_fault::trimmed;
                 state_.servers.store_lost();
-                co_await loop_sleep(pause_.take(state_.ticket()));
+                co_await loop_sleep(backoff_.next(state_.ticket()));
                 continue;
             }
             state_.servers.store_answered(now);
-            pause_.reset();
+            backoff_.reset();
             for (auto const& id : state_.servers.expire(now))
             {
                 forget(id, "lapsed");
             }
-            if (!relayed_) // a relay has waited for news
+            if (!relayed_) // a relay has already waited for new records
             {
                 co_await loop_sleep(options_.servers_pause);
             }
@@ -291,7 +294,7 @@
 
     boost::asio::awaitable<std::optional<store_failure>> next_read()
     {
-        return known_ ? read_on() : read_newest();
+        return synced_ ? read_updates() : read_newest();
     }
 
     boost::asio::awaitable<std::optional<store_failure>> read_newest()
@@ -313,16 +316,17 @@
                     all.push_back(std::move(*server));
                 }
             }
-            next_ =
-                after.empty() ? page.end : next_; // later pages may miss changes to it
+            // Later pages may lack changes up to their end, so reading goes on from the
+            // end of the first one.
+            next_ = after.empty() ? page.end : next_;
             if (!page.more || page.records.empty())
             {
                 break;
             }
             after = page.records.back().key;
         }
-        known_ = true;
-        // The listing is believed only now that the store is known to be back.
+        synced_ = true;
+        // The listing is applied only now that the store is known to be back.
         state_.servers.store_answered(boot_clock::now());
         state_.servers.replace(all, boot_clock::now());
         state_.servers.caught_up();
@@ -332,11 +336,11 @@
         co_return std::nullopt;
     }
 
-    boost::asio::awaitable<std::optional<store_failure>> read_on()
+    boost::asio::awaitable<std::optional<store_failure>> read_updates()
     {
-        auto result =
-            co_await store_.read(lane, Codec::servers_topic(), next_,
-                                 state_.relayed ? options_.servers_pause : millis{0});
+        auto result = co_await store_.read(lane, Codec::servers_topic(), next_,
+                                           state_.reads_via_peers ? options_.servers_pause
+                                                                  : millis{0});
         if (auto const* failure = std::get_if<store_failure>(&result))
         {
             co_return *failure;
@@ -348,7 +352,7 @@
         {
             if (auto const record = Codec::keyed(chunk.records[at], chunk.from + at))
             {
-                take(*record);
+                apply(*record);
             }
         }
         next_ = chunk.from + chunk.records.size();
@@ -359,7 +363,7 @@
         co_return std::nullopt;
     }
 
-    /// An engine that has started anew, or reads in another role, keeps no prompts.
+    /// Forgets the cached prompts of an engine that has restarted or changed its role.
     void forget_cache(backend_server const& server)
     {
         auto const& known = state_.servers.servers();
@@ -372,7 +376,7 @@
         }
     }
 
-    void take(keyed_record const& record)
+    void apply(keyed_record const& record)
     {
         auto const server =
             record.value ? Codec::server(record.key, *record.value) : std::nullopt;
@@ -413,9 +417,9 @@
     entry_state&   state_;
     Store&         store_;
     follow_options options_;
-    retry_pause    pause_;
+    retry_backoff  backoff_;
     std::uint64_t  next_ = 0;
-    bool           known_; // `next_` continues what has been read
+    bool           synced_; // `next_` continues the last read
     bool           relayed_ = false;
 };
 
