--- a/apps/operator_reports.cpp
+++ b/apps/operator_reports.cpp
@@ -6,7 +6,7 @@
 #include "app/report_page.hpp"
 #include "app/target_ledger.hpp"
 #include "operator_output.hpp"
-#include "policy/target_judgement.hpp"
+#include "policy/target_evaluation.hpp"
 
 #include <algorithm>
 #include <fstream>
@@ -155,7 +155,7 @@
     json verdicts = json::array();
     for (auto const& [id, rule] : config.targets)
     {
-        auto const verdict = judge_target(rule, samples, newest);
+        auto const verdict = evaluate_target(rule, samples, newest);
         verdicts.push_back(to_json(verdict));
     }
     return print_all(context, verdicts);
--- a/bench/bench_routing.cpp
+++ b/bench/bench_routing.cpp
@@ -49,7 +49,7 @@
     auto const      now = boot_clock::now();
     for (std::uint32_t index = 0; index < which.workspaces; ++index)
     {
-        shares.weigh(index, 1 + index % 8);
+        shares.set_weight(index, 1 + index % 8);
         prefixes.dispatched(index, index % which.engines, 800, now);
         prefixes.dispatched(index, (index * 7) % which.engines, 800, now);
     }
@@ -71,8 +71,8 @@
                                              .excluded = {}},
                                             speed, options);
         count_sent(views[decision.engine], 1'500, turn, speed);
-        sum +=
-            decision.engine + static_cast<std::uint64_t>(shares.within(workspace, now));
+        sum += decision.engine +
+               static_cast<std::uint64_t>(shares.is_within_share(workspace, now));
     }
     auto const elapsed = std::chrono::steady_clock::now() - begin;
     if (sum == 0)
--- a/bench/model/engine_model.cpp
+++ b/bench/model/engine_model.cpp
@@ -135,10 +135,10 @@
     return calls;
 }
 
-own_work engine_model::load() const
+engine_work engine_model::load() const
 {
-    own_work work{static_cast<std::int64_t>(decoding_.size() + waiting_.size()),
-                  stepping_ ? chunk_ : 0};
+    engine_work work{static_cast<std::int64_t>(decoding_.size() + waiting_.size()),
+                     stepping_ ? chunk_ : 0};
     for (auto const& [where, entry] : waiting_)
     {
         work.prefill_tokens += entry.left;
--- a/bench/model/engine_model.hpp
+++ b/bench/model/engine_model.hpp
@@ -81,7 +81,7 @@
     /// All calls that it holds; it then holds none and its cache is empty.
     std::vector<std::uint32_t> crash();
 
-    own_work     load() const;
+    engine_work  load() const;
     std::int64_t batch() const noexcept;
     bool         idle() const noexcept;
     bool         stepping() const noexcept;
--- a/bench/model/entry_model.cpp
+++ b/bench/model/entry_model.cpp
@@ -27,7 +27,7 @@
     rank();
     for (std::uint32_t index = 0; index < input.workspaces.size(); ++index)
     {
-        shares.weigh(index, input.workspaces[index].weight);
+        shares.set_weight(index, input.workspaces[index].weight);
     }
 }
 
@@ -91,9 +91,9 @@
                          options_.speed, options_.route);
 }
 
-bool entry_model::within(call_state const& call, std::int64_t now_us) const
+bool entry_model::is_within_share(call_state const& call, std::int64_t now_us) const
 {
-    return shares.within(call.request.workspace, time_at(now_us));
+    return shares.is_within_share(call.request.workspace, time_at(now_us));
 }
 
 admission_decision entry_model::judge(call_state const&      call,
@@ -102,7 +102,7 @@
 {
     admission_input input;
     input.servable = decision.engine != no_engine;
-    input.within_share = within(call, now_us);
+    input.within_share = is_within_share(call, now_us);
     input.target_us = trace_.workspaces[call.request.workspace].first_token_us;
     input.waited_us = now_us - call.request.at_us;
     if (input.servable)
@@ -125,15 +125,15 @@
         bool const moves = views[decision.engine].use == engine_use::prefill;
         auto const fill = input.within_share ? options_.admission.fill_percent
                                              : options_.admission.excess_fill_percent;
-        if (moves && free_decode_places(views, options_.speed, fill) <= 0)
+        if (moves && free_decode_slots(views, options_.speed, fill) <= 0)
         {
             input.predicted_us += input.target_us;
         }
     }
-    auto const result = judge_admission(input, options_.admission);
+    auto const result = decide_admission(input, options_.admission);
     if (result.verdict != admission_verdict::dispatch)
     {
-        shares.pressed(time_at(now_us));
+        shares.record_overload(time_at(now_us));
     }
     return result;
 }
@@ -197,14 +197,14 @@
     at_report_[engine].push_back(sample_of(views[engine], now_us, options_.speed));
 }
 
-void entry_model::report_read(std::uint32_t engine, own_work const& reported,
+void entry_model::report_read(std::uint32_t engine, engine_work const& reported,
                               std::int64_t age_us, std::int64_t now_us)
 {
     auto const then = at_report_[engine].front();
     at_report_[engine].pop_front();
     reported_[engine] = reported;
-    take_report(views[engine], {reported, then, age_us / micros_per_milli},
-                options_.entries, now_us, options_.speed, options_.route);
+    apply_report(views[engine], {reported, then, age_us / micros_per_milli},
+                 options_.entries, now_us, options_.speed, options_.route);
 }
 
 void entry_model::refresh(std::int64_t now_us)
--- a/bench/model/entry_model.hpp
+++ b/bench/model/entry_model.hpp
@@ -81,8 +81,8 @@
 
     /// What this entry VM has on the engine goes with the report that is made now.
     void report_made(std::uint32_t engine, std::int64_t now_us);
-    void report_read(std::uint32_t engine, own_work const& reported, std::int64_t age_us,
-                     std::int64_t now_us);
+    void report_read(std::uint32_t engine, engine_work const& reported,
+                     std::int64_t age_us, std::int64_t now_us);
     void refresh(std::int64_t now_us);
 
     /// Engines were opened, closed or given another use.
@@ -100,13 +100,13 @@
 
 private:
     engine_decision choose_baseline(call_state const& call);
-    bool            within(call_state const& call, std::int64_t now_us) const;
+    bool            is_within_share(call_state const& call, std::int64_t now_us) const;
 
     trace const&                         trace_;
     std::uint32_t                        entry_;
     replay_options const&                options_;
     progress_tracker                     progress_;
-    std::vector<own_work>                reported_;
+    std::vector<engine_work>             reported_;
     std::vector<std::deque<work_sample>> at_report_;
     std::vector<prefix_hit>              hits_;
     std::uint32_t                        turn_ = 0;
--- a/bench/model/replay_engines.cpp
+++ b/bench/model/replay_engines.cpp
@@ -260,7 +260,7 @@
         {
             if (to != from)
             {
-                entries_[to].shares.hear(from, uses);
+                entries_[to].shares.receive_digest(from, uses);
             }
         }
     }
--- a/bench/model/replay_run.cpp
+++ b/bench/model/replay_run.cpp
@@ -39,7 +39,7 @@
 }
 
 void replay_run::schedule(std::int64_t delay_us, event_kind kind, std::uint32_t subject,
-                          std::uint64_t number, own_work load)
+                          std::uint64_t number, engine_work load)
 {
     events_.push({now_us_ + delay_us, order_++, kind, subject, number, load});
 }
@@ -119,8 +119,8 @@
         {
             if (&entry != &entries_[event.number])
             {
-                count_notice(entry.views[event.subject], event.load, now_us_,
-                             options_.speed);
+                count_peer_dispatch(entry.views[event.subject], event.load, now_us_,
+                                    options_.speed);
             }
         }
         break;
@@ -464,13 +464,13 @@
         input.content_crashes = 0; // baselines know no suspects and no budget
         input.recent_retries = 0;
     }
-    auto const decision = judge_retry(input, options_.admission);
+    auto const decision = decide_retry(input, options_.admission);
     if (decision.verdict == retry_verdict::refuse)
     {
         refuse(call, name_of(decision.cause));
         return;
     }
-    try_again(call, decision.verdict == retry_verdict::again_alone);
+    try_again(call, decision.verdict == retry_verdict::retry_alone);
 }
 
 /// Suspects run apart from one another: then a second crash convicts only the one.
--- a/bench/model/replay_run.hpp
+++ b/bench/model/replay_run.hpp
@@ -36,7 +36,7 @@
     event_kind    kind{};
     std::uint32_t subject = 0;
     std::uint64_t number = 0;
-    own_work      load;
+    engine_work   load;
 
     bool operator>(replay_event const& other) const noexcept
     {
@@ -53,7 +53,7 @@
 
 private:
     void schedule(std::int64_t delay_us, event_kind kind, std::uint32_t subject = 0,
-                  std::uint64_t number = 0, own_work load = {});
+                  std::uint64_t number = 0, engine_work load = {});
     void handle(replay_event const& event);
 
     // Calls
--- a/bench/model/replay_table.cpp
+++ b/bench/model/replay_table.cpp
@@ -105,8 +105,9 @@
     {
         auto const& own = result.workspaces[index];
         auto const  share =
-            level == no_level ? own.flood_tokens
-                               : std::min(own.flood_tokens, level * demands[index].weight);
+            level == unlimited_level
+                 ? own.flood_tokens
+                 : std::min(own.flood_tokens, level * demands[index].weight);
         auto const wanted = flood ? share : own.offered;
         auto const got = flood ? own.flood_good_tokens : own.good;
         worst = std::min(worst, got * milli / std::max<std::int64_t>(1, wanted));
--- a/src/app/model_run.hpp
+++ b/src/app/model_run.hpp
@@ -57,8 +57,8 @@
         {
             return give_up(*cause);
         }
-        auto const verdict = parts_.poison.judge(request_.content);
-        if (verdict == poison_verdict::guilty)
+        auto const verdict = parts_.poison.evaluate(request_.content);
+        if (verdict == poison_verdict::blocked)
         {
             return give_up(refusal_cause::poison);
         }
@@ -197,12 +197,12 @@
             {
                 return give_up(*cause);
             }
-            auto const verdict = parts_.poison.judge(request_.content);
-            if (verdict == poison_verdict::guilty)
+            auto const verdict = parts_.poison.evaluate(request_.content);
+            if (verdict == poison_verdict::blocked)
             {
                 return give_up(refusal_cause::poison);
             }
-            if (verdict == poison_verdict::innocent)
+            if (verdict == poison_verdict::allowed)
             {
                 return run_among_others();
             }
@@ -239,7 +239,7 @@
     bool need_not_wait() const
     {
         return reason_to_stop() ||
-               parts_.poison.judge(request_.content) != poison_verdict::suspect;
+               parts_.poison.evaluate(request_.content) != poison_verdict::suspect;
     }
 
     /// True if some server, kept free for another suspect or not, may still be tried.
@@ -364,7 +364,8 @@
         if (sequencer_.whole() && !key_stopped_)
         {
             state_ = state_.after(request_step::finish);
-            parts_.poison.ran_whole(request_.content, parts_.poison.reserved(server.id));
+            parts_.poison.record_completion(request_.content,
+                                            parts_.poison.reserved(server.id));
             return;
         }
         if (failure && failure->fault == transport_fault::not_connected)
--- a/src/app/poison_guard.cpp
+++ b/src/app/poison_guard.cpp
@@ -32,10 +32,10 @@
 {
 }
 
-poison_verdict poison_guard::judge(std::string const& content) const
+poison_verdict poison_guard::evaluate(std::string const& content) const
 {
     std::lock_guard const lock(mutex_);
-    return list_.judge(content, boot_clock::now());
+    return list_.evaluate(content, boot_clock::now());
 }
 
 void poison_guard::note_crash(std::string const& server, std::string const& content,
@@ -55,10 +55,10 @@
     broadcast_suspect(content);
 }
 
-void poison_guard::ran_whole(std::string const& content, bool alone)
+void poison_guard::record_completion(std::string const& content, bool alone)
 {
     std::lock_guard const lock(mutex_);
-    list_.ran_whole(content, alone);
+    list_.record_completion(content, alone);
 }
 
 void poison_guard::take(wire::poison_suspect const& news)
--- a/src/app/poison_guard.hpp
+++ b/src/app/poison_guard.hpp
@@ -36,14 +36,14 @@
 
     poison_guard(std::string node, poison_options options, broadcaster broadcast);
 
-    poison_verdict judge(std::string const& content) const;
+    poison_verdict evaluate(std::string const& content) const;
 
     /// A server crashed while it ran this content; `crash` is unique to the attempt.
     void note_crash(std::string const& server, std::string const& content,
                     std::string const& crash);
 
     /// The content ran to its end; `alone` if nothing else ran beside it.
-    void ran_whole(std::string const& content, bool alone);
+    void record_completion(std::string const& content, bool alone);
 
     /// News of a peer.
     void take(wire::poison_suspect const& news);
--- a/src/app/target_ledger.cpp
+++ b/src/app/target_ledger.cpp
@@ -33,7 +33,7 @@
             std::lock_guard const lock(own.mutex);
             samples.assign(own.samples.begin(), own.samples.end());
         }
-        verdicts.push_back(judge_target(rule, samples, now_ms));
+        verdicts.push_back(evaluate_target(rule, samples, now_ms));
     }
     return verdicts;
 }
--- a/src/app/target_ledger.hpp
+++ b/src/app/target_ledger.hpp
@@ -6,7 +6,7 @@
 
 #include "adapters/span_store.hpp"
 #include "app/answer_stream.hpp"
-#include "policy/target_judgement.hpp"
+#include "policy/target_evaluation.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -18,8 +18,8 @@
 
 // 1. Decision
 
-admission_decision judge_admission(admission_input const&   input,
-                                   admission_options const& options)
+admission_decision decide_admission(admission_input const&   input,
+                                    admission_options const& options)
 {
     admission_decision decision;
     decision.input = input;
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,6 +1,6 @@
 // Admission control: a request is dispatched, held briefly, or refused with a retry time.
 //
-// Index: 1 admission_input, 2 admission_decision, 3 judge_admission, 4 fair_queue
+// Index: 1 admission_input, 2 admission_decision, 3 decide_admission, 4 fair_queue
 //
 // The decision compares the predicted time to the first token with the workspace's
 // target.
@@ -55,8 +55,8 @@
 /// its extra requests don't use up the time that other workspaces' targets allow. A
 /// prompt that misses the target even on an idle engine is not refused for its length: it
 /// is dispatched when its engine is nearly idle.
-admission_decision judge_admission(admission_input const&   input,
-                                   admission_options const& options);
+admission_decision decide_admission(admission_input const&   input,
+                                    admission_options const& options);
 
 /// Held requests in the order of weighted fair queueing. Each workspace's virtual start
 /// time advances by tokens / weight, so that the thousandth request of one workspace does
--- a/src/policy/send_account.hpp
+++ b/src/policy/attempt_history.hpp
@@ -1,13 +1,13 @@
 // The outcomes of a call's attempts so far, and whether another attempt is allowed.
 //
-// Index: 1 exchange_fate, 2 send_terms, 3 send_account
+// Index: 1 attempt_outcome, 2 attempt_limits, 3 attempt_history
 //
 // It prevents that a call which must not be repeated runs twice, that a refusal reports
 // "not run" for a call that may have run, and that a call tries full or unreachable
 // servers until its deadline, which would flood the remaining servers of a service with
 // requests.
-#ifndef MARIGOLDCRANK_POLICY_SEND_ACCOUNT_HPP
-#define MARIGOLDCRANK_POLICY_SEND_ACCOUNT_HPP
+#ifndef MARIGOLDCRANK_POLICY_ATTEMPT_HISTORY_HPP
+#define MARIGOLDCRANK_POLICY_ATTEMPT_HISTORY_HPP
 
 #include <cstdint>
 
@@ -15,7 +15,7 @@
 {
 
 /// The known outcome of an attempt.
-enum class exchange_fate
+enum class attempt_outcome
 {
     answered, // the server returned a response to this call
     not_sent, // no byte was sent: no connection could be made
@@ -23,38 +23,38 @@
     unknown   // sent without a valid response: it may have run
 };
 
-inline char const* exchange_fate_name(exchange_fate value)
+inline char const* attempt_outcome_name(attempt_outcome value)
 {
     switch (value)
     {
-    case exchange_fate::answered:
+    case attempt_outcome::answered:
         return "answered";
-    case exchange_fate::not_sent:
+    case attempt_outcome::not_sent:
         return "not_sent";
-    case exchange_fate::not_run:
+    case attempt_outcome::not_run:
         return "not_run";
-    case exchange_fate::unknown:
+    case attempt_outcome::unknown:
         break;
     }
     return "unknown";
 }
 
 /// Limits that the rules set for a call.
-struct send_terms
+struct attempt_limits
 {
     bool         repeatable = false; // may run more than once
     std::int64_t max_servers = 1;    // servers that may run it, one after another
 
-    bool operator==(send_terms const&) const = default;
+    bool operator==(attempt_limits const&) const = default;
 };
 
 /// Counts the attempts of one call. Value type; the deadline and the shared retry budget
 /// are checked elsewhere.
-class send_account
+class attempt_history
 {
 public:
     /// Whether another attempt is allowed by the attempts so far.
-    bool allows(send_terms const& terms) const
+    bool allows(attempt_limits const& terms) const
     {
         if (failed_connects_ >= max_failed_connects || refusals_ > max_refusals)
         {
@@ -78,25 +78,25 @@
     }
 
     /// Records the outcome of the last attempt.
-    void end(exchange_fate fate)
+    void end(attempt_outcome fate)
     {
         bool const ran =
-            fate == exchange_fate::unknown || fate == exchange_fate::answered;
+            fate == attempt_outcome::unknown || fate == attempt_outcome::answered;
         runs_ -= ran ? 0 : 1;
-        failed_connects_ += fate == exchange_fate::not_sent ? 1 : 0;
-        refusals_ += fate == exchange_fate::not_run ? 1 : 0;
+        failed_connects_ += fate == attempt_outcome::not_sent ? 1 : 0;
+        refusals_ += fate == attempt_outcome::not_run ? 1 : 0;
         maybe_run_ = maybe_run_ || ran;
     }
 
     /// Records that a prefill request returned no KV handle. Prefill alone does not run
     /// the call.
-    void read_failed()
+    void prefill_failed()
     {
         ++refusals_;
     }
 
     /// True if the call may have run, so that status 503 would be wrong.
-    bool maybe_run() const
+    bool may_have_run() const
     {
         return maybe_run_;
     }
@@ -107,7 +107,7 @@
         return runs_;
     }
 
-    bool operator==(send_account const&) const = default;
+    bool operator==(attempt_history const&) const = default;
 
 private:
     // 1  refusal after which the call is sent again; a second one shows that the service
--- a/src/policy/crash_watch.cpp
+++ b/src/policy/crash_watch.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-bool crash_watch::note(crash_news const& crash, boot_clock::time_point now)
+bool crash_watch::note(crash_update const& crash, boot_clock::time_point now)
 {
     auto const expired = [&](auto const& entry)
     {
@@ -41,7 +41,7 @@
     return true;
 }
 
-bool crash_watch::crashed(crash_news const& crash, boot_clock::time_point now)
+bool crash_watch::record_crash(crash_update const& crash, boot_clock::time_point now)
 {
     bool const is_new = note(crash, now);
     if (is_new)
@@ -59,27 +59,27 @@
 
 void crash_watch::answered(std::string const& content, boot_clock::time_point now)
 {
-    if (poison_.judge(content, now) != poison_verdict::suspect)
+    if (poison_.evaluate(content, now) != poison_verdict::suspect)
     {
         return;
     }
     poison_.clear(content);
     stop_publishing(content);
-    published_.emplace_back(now, crash_news{.content = content, .cleared = true});
+    published_.emplace_back(now, crash_update{.content = content, .cleared = true});
 }
 
-void crash_watch::absorb(crash_news const& news, boot_clock::time_point now)
+void crash_watch::merge(crash_update const& updates, boot_clock::time_point now)
 {
-    if (!news.cleared)
+    if (!updates.cleared)
     {
-        note(news, now);
+        note(updates, now);
         return;
     }
-    poison_.clear(news.content);
-    stop_publishing(news.content);
+    poison_.clear(updates.content);
+    stop_publishing(updates.content);
 }
 
-std::vector<crash_news> crash_watch::news(boot_clock::time_point now)
+std::vector<crash_update> crash_watch::updates(boot_clock::time_point now)
 {
     while (!published_.empty() &&
            (now - published_.front().first > options_.publish_for ||
@@ -87,17 +87,17 @@
     {
         published_.pop_front();
     }
-    std::vector<crash_news> result;
-    for (auto const& [at, news] : published_)
+    std::vector<crash_update> result;
+    for (auto const& [at, updates] : published_)
     {
-        result.push_back(news);
+        result.push_back(updates);
     }
     return result;
 }
 
-bool crash_watch::guilty(std::string const& content, boot_clock::time_point now) const
+bool crash_watch::blocked(std::string const& content, boot_clock::time_point now) const
 {
-    return poison_.judge(content, now) == poison_verdict::guilty;
+    return poison_.evaluate(content, now) == poison_verdict::blocked;
 }
 
 } // namespace marigoldcrank
--- a/src/policy/crash_watch.hpp
+++ b/src/policy/crash_watch.hpp
@@ -1,6 +1,6 @@
 // Detects requests that crash servers, from the crashes that all VMs see.
 //
-// Index: 1 crash_news, 2 crash_watch_options, 3 crash_watch
+// Index: 1 crash_update, 2 crash_watch_options, 3 crash_watch
 //
 // A caller may repeat a request that crashes every server that runs it, at any VM, until
 // no server is left. Such a request shows as connections that end during calls with the
@@ -22,14 +22,14 @@
 {
 
 /// An update on one content that a VM publishes to the other VMs.
-struct crash_news
+struct crash_update
 {
     std::string content;         // hash of path, caller and body
     std::string server;          // lost while it ran a call with this content
     std::string call_id;         // that call; a restarted server may keep its id
     bool        cleared = false; // a call with this content got a complete response
 
-    auto operator<=>(crash_news const&) const = default;
+    auto operator<=>(crash_update const&) const = default;
 };
 
 struct crash_watch_options
@@ -55,31 +55,31 @@
 
     /// Records that the connection to `crash.server` ended during a call. True if this
     /// counts as a new crash.
-    bool crashed(crash_news const& crash, boot_clock::time_point now);
+    bool record_crash(crash_update const& crash, boot_clock::time_point now);
 
     /// Records a complete response to a call with this content.
     void answered(std::string const& content, boot_clock::time_point now);
 
     /// Merges an update of another VM.
-    void absorb(crash_news const& news, boot_clock::time_point now);
+    void merge(crash_update const& updates, boot_clock::time_point now);
 
     /// The updates to publish to the other VMs.
-    std::vector<crash_news> news(boot_clock::time_point now);
+    std::vector<crash_update> updates(boot_clock::time_point now);
 
     /// True if calls with this content must not run.
-    bool guilty(std::string const& content, boot_clock::time_point now) const;
+    bool blocked(std::string const& content, boot_clock::time_point now) const;
 
 private:
     using crash_site = std::pair<std::string, std::string>; // content, server
 
-    bool note(crash_news const& crash, boot_clock::time_point now);
+    bool note(crash_update const& crash, boot_clock::time_point now);
     void stop_publishing(std::string const& content);
 
     crash_watch_options                           options_;
     poison_list                                   poison_;
     std::map<crash_site, boot_clock::time_point>  last_crash_; // last counted crash
     std::map<std::string, boot_clock::time_point> duplicates_; // crash ids not counted
-    std::deque<std::pair<boot_clock::time_point, crash_news>> published_;
+    std::deque<std::pair<boot_clock::time_point, crash_update>> published_;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/engine_view.cpp
+++ b/src/policy/engine_view.cpp
@@ -18,17 +18,17 @@
     view.queued_at_us = now_us;
 }
 
-void count_notice(engine_view& view, own_work const& sent, std::int64_t now_us,
-                  engine_speed const& speed)
+void count_peer_dispatch(engine_view& view, engine_work const& sent, std::int64_t now_us,
+                         engine_speed const& speed)
 {
     count_sent(view, sent.prefill_tokens, now_us, speed);
     view.notified_streams += sent.streams;
     view.others_streams += sent.streams;
 }
 
-void take_report(engine_view& view, aged_report const& report, std::int64_t entries,
-                 std::int64_t now_us, engine_speed const& speed,
-                 route_options const& options)
+void apply_report(engine_view& view, aged_report const& report, std::int64_t entries,
+                  std::int64_t now_us, engine_speed const& speed,
+                  route_options const& options)
 {
     auto const horizon_ms = std::max<std::int64_t>(1, options.report_horizon_ms);
     auto const report_weight =
--- a/src/policy/engine_view.hpp
+++ b/src/policy/engine_view.hpp
@@ -1,6 +1,6 @@
 // The state of one engine as an entry VM estimates it, in the form that routing reads.
 //
-// Index: 1 engine_use, 2 own_work, 3 engine_view, 4 work_sample and its estimates,
+// Index: 1 engine_use, 2 engine_work, 3 engine_view, 4 work_sample and its estimates,
 //        5 rank_engines
 //
 // A routing decision scans the engine_view of every engine, so it holds no text and no
@@ -28,12 +28,12 @@
 };
 
 /// Work on an engine: that of this entry VM, or the sum in a load report.
-struct own_work
+struct engine_work
 {
     std::int64_t streams = 0;        // requests in the batch or waiting for it
     std::int64_t prefill_tokens = 0; // prompt tokens not yet computed
 
-    bool operator==(own_work const&) const = default;
+    bool operator==(engine_work const&) const = default;
 };
 
 /// Estimated state of one engine.
@@ -42,7 +42,7 @@
     static constexpr std::int64_t nominal_speed =
         256; // slowdown of an engine that is as fast as assumed
 
-    own_work     own;                      // sent by this entry VM; exact
+    engine_work  own;                      // sent by this entry VM; exact
     std::int64_t others_streams = 0;       // estimated streams of the other entry VMs
     std::int64_t queued_tokens = 0;        // estimate of all prompt tokens queued there,
     std::int64_t queued_at_us = 0;         // at this time; they drain from then on
@@ -78,7 +78,7 @@
 /// this estimate and not the later one at the time when the report is read.
 struct work_sample
 {
-    own_work     own;
+    engine_work  own;
     std::int64_t notified_streams = 0;
     std::int64_t waiting_tokens = 0;
 
@@ -96,13 +96,13 @@
                 engine_speed const& speed);
 
 /// Adds the work in another entry VM's notice of a dispatch.
-void count_notice(engine_view& view, own_work const& sent, std::int64_t now_us,
-                  engine_speed const& speed);
+void count_peer_dispatch(engine_view& view, engine_work const& sent, std::int64_t now_us,
+                         engine_speed const& speed);
 
 /// A load report with its age.
 struct aged_report
 {
-    own_work     reported;
+    engine_work  reported;
     work_sample  estimated;  // for the time when the report was made
     std::int64_t age_ms = 0; // since the report was made
 
@@ -114,9 +114,9 @@
 /// callers evenly, so that each of the `entries` entry VMs has as many streams there as
 /// this one. Fading to zero instead would make an engine that stops reporting look idle
 /// and draw every entry VM to it.
-void take_report(engine_view& view, aged_report const& report, std::int64_t entries,
-                 std::int64_t now_us, engine_speed const& speed,
-                 route_options const& options);
+void apply_report(engine_view& view, aged_report const& report, std::int64_t entries,
+                  std::int64_t now_us, engine_speed const& speed,
+                  route_options const& options);
 
 /// Gives entry VM `entry` of `entries` its own preference order of the engines. Entry VMs
 /// then choose different engines, so that work which notices and reports don't show yet
--- a/src/policy/fair_share.cpp
+++ b/src/policy/fair_share.cpp
@@ -19,7 +19,7 @@
     }
     if (total <= capacity)
     {
-        return no_level;
+        return unlimited_level;
     }
     // Workspaces with the least demand for their weight are served in full; the others
     // share what is left.
@@ -37,7 +37,7 @@
         left -= demand.offered;
         weights -= demand.weight;
     }
-    return no_level;
+    return unlimited_level;
 }
 
 // 2. Shares
@@ -53,7 +53,7 @@
     return workspaces_[workspace];
 }
 
-void fair_share::weigh(std::uint32_t workspace, std::int64_t weight)
+void fair_share::set_weight(std::uint32_t workspace, std::int64_t weight)
 {
     use_of(workspace).weight = std::max<std::int64_t>(1, weight);
 }
@@ -96,7 +96,7 @@
     add(use_of(workspace).charged, tokens, now);
 }
 
-void fair_share::pressed(boot_clock::time_point now)
+void fair_share::record_overload(boot_clock::time_point now)
 {
     overloaded_until_ = now + window_;
 }
@@ -128,7 +128,7 @@
     return uses;
 }
 
-void fair_share::hear(std::uint32_t peer, std::vector<share_use> uses)
+void fair_share::receive_digest(std::uint32_t peer, std::vector<share_use> uses)
 {
     if (peer >= peer_digests_.size())
     {
@@ -152,7 +152,7 @@
             use_of(each.workspace).peers_charged += each.charged;
         }
     }
-    level_ = no_level;
+    level_ = unlimited_level;
     if (now >= overloaded_until_)
     {
         return;
@@ -171,9 +171,10 @@
     level_ = fair_level(std::move(demands), admitted);
 }
 
-bool fair_share::within(std::uint32_t workspace, boot_clock::time_point now) const
+bool fair_share::is_within_share(std::uint32_t          workspace,
+                                 boot_clock::time_point now) const
 {
-    if (level_ == no_level || workspace >= workspaces_.size())
+    if (level_ == unlimited_level || workspace >= workspaces_.size())
     {
         return true;
     }
--- a/src/policy/fair_share.hpp
+++ b/src/policy/fair_share.hpp
@@ -28,10 +28,10 @@
 };
 
 /// The level at which no workspace is limited.
-constexpr std::int64_t no_level = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t unlimited_level = std::numeric_limits<std::int64_t>::max();
 
 /// Weighted max-min fairness: the level L, in tokens for each unit of weight, at which
-/// the sum of min(offered, weight * L) is `capacity`. no_level if all demand fits.
+/// the sum of min(offered, weight * L) is `capacity`. unlimited_level if all demand fits.
 std::int64_t fair_level(std::vector<share_demand> demands, std::int64_t capacity);
 
 /// One workspace's use at one entry VM over the window, in tokens.
@@ -51,7 +51,7 @@
 public:
     explicit fair_share(millis window);
 
-    void weigh(std::uint32_t workspace, std::int64_t weight);
+    void set_weight(std::uint32_t workspace, std::int64_t weight);
 
     /// Counts tokens that were asked for, admitted or not.
     void offer(std::uint32_t workspace, std::int64_t tokens, boot_clock::time_point now);
@@ -61,18 +61,18 @@
 
     /// Records that a request was held or refused: shares are enforced for one window
     /// from now on.
-    void pressed(boot_clock::time_point now);
+    void record_overload(boot_clock::time_point now);
 
     /// This VM's use, of the `most` workspaces with the most offered tokens per weight.
     std::vector<share_use> digest(boot_clock::time_point now, std::size_t most) const;
 
     /// Replaces the digest of entry VM `peer`.
-    void hear(std::uint32_t peer, std::vector<share_use> uses);
+    void receive_digest(std::uint32_t peer, std::vector<share_use> uses);
 
     /// Recomputes the level from the window. To be called every few hundred milliseconds.
     void refresh(boot_clock::time_point now);
 
-    bool within(std::uint32_t workspace, boot_clock::time_point now) const;
+    bool is_within_share(std::uint32_t workspace, boot_clock::time_point now) const;
 
     std::int64_t level() const noexcept;
 
@@ -102,7 +102,7 @@
     std::vector<workspace_use>          workspaces_;
     std::vector<std::vector<share_use>> peer_digests_; // by peer
     boot_clock::time_point              overloaded_until_{};
-    std::int64_t                        level_ = no_level;
+    std::int64_t                        level_ = unlimited_level;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/load_relay.hpp
+++ b/src/policy/load_relay.hpp
@@ -55,7 +55,7 @@
     }
 
     /// Records a digest received now. False if a VM with this plan must not count it.
-    bool absorb(load_digest digest, boot_clock::time_point now)
+    bool merge(load_digest digest, boot_clock::time_point now)
     {
         auto const key = key_of(digest);
         if (key.empty())
@@ -68,7 +68,7 @@
             // ago.
             digest.work.subtract(previous_published_);
         }
-        peers_.absorb(key, std::move(digest.work), now);
+        peers_.merge(key, std::move(digest.work), now);
         return true;
     }
 
--- a/src/policy/pause_watch.hpp
+++ b/src/policy/pause_watch.hpp
@@ -45,7 +45,8 @@
     }
 
     /// Records the complete end of a stream with `events` events.
-    void ended(std::int64_t events, boot_clock::duration longest_pause, millis promised)
+    void stream_ended(std::int64_t events, boot_clock::duration longest_pause,
+                      millis promised)
     {
         if (events < min_events || promised.count() <= 0)
         {
@@ -63,7 +64,7 @@
 
     /// Prefill tokens that may be queued at a decode engine; `least` if `adapts` is
     /// false.
-    std::int64_t beside_streams(bool adapts) const
+    std::int64_t max_colocated_tokens(bool adapts) const
     {
         auto const headroom = (options_.min_above - pause_ratio_) /
                               (options_.min_above - options_.full_below);
@@ -74,9 +75,9 @@
     }
 
     /// Whether decode engines can take over prefill from the prefill engines.
-    bool bears_reading(bool adapts) const
+    bool tolerates_prefill(bool adapts) const
     {
-        return beside_streams(adapts) > (options_.least + options_.most) / 2;
+        return max_colocated_tokens(adapts) > (options_.least + options_.most) / 2;
     }
 
     /// The tracked quantile of the longest pauses, as a ratio to the promised pause.
--- a/src/policy/peer_loads.hpp
+++ b/src/policy/peer_loads.hpp
@@ -103,7 +103,7 @@
     explicit peer_loads(peer_loads_options options = {}) : options_(options) {}
 
     /// Records a sender's newest digest, received now.
-    void absorb(std::string const& vm, vm_work work, boot_clock::time_point now)
+    void merge(std::string const& vm, vm_work work, boot_clock::time_point now)
     {
         peers_[vm] = {now, std::move(work)};
     }
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -17,7 +17,7 @@
 // 1. Shared
 
 // 1e9  ms; above any real cost, so that suspects are chosen last
-constexpr double suspect_cost = 1e9;
+constexpr double avoided_cost = 1e9;
 
 /// Rendezvous hashing: all VMs rank the engines for a prompt part alike without messages.
 std::uint64_t rendezvous_rank(std::string_view part, std::string const& id)
@@ -37,7 +37,7 @@
     {
         bool const fits = (each.server->role == engine_role::prefill) == prefill;
         auto const rank = rendezvous_rank(part, each.server->id);
-        if (fits && !each.suspect && (best == nullptr || rank > best_rank))
+        if (fits && !each.avoided && (best == nullptr || rank > best_rank))
         {
             best = each.server;
             best_rank = rank;
@@ -95,7 +95,7 @@
                                        each.server->data_centre == data_centre;
                                    return static_cast<double>(each.load.running) +
                                           (near ? 0 : remote_penalty) +
-                                          (each.suspect ? suspect_cost : 0);
+                                          (each.avoided ? avoided_cost : 0);
                                });
     return best.chosen == nullptr ? nullptr : best.chosen->server;
 }
@@ -129,12 +129,12 @@
         for (auto const& each : candidates)
         {
             has_prefill_engine_ =
-                has_prefill_engine_ || (is_prefill_engine(each) && !each.suspect);
-            prefill_engines_ += is_prefill_engine(each) && !each.suspect ? 1 : 0;
-            decode_engines_ += !is_prefill_engine(each) && !each.suspect ? 1 : 0;
+                has_prefill_engine_ || (is_prefill_engine(each) && !each.avoided);
+            prefill_engines_ += is_prefill_engine(each) && !each.avoided ? 1 : 0;
+            decode_engines_ += !is_prefill_engine(each) && !each.avoided ? 1 : 0;
             cached_anywhere_ = cached_anywhere_ || each.kept > 0;
             bool const better = best_cache_ == nullptr || each.ready > best_cache_->ready;
-            if (!each.suspect && each.ready > 0 && better)
+            if (!each.avoided && each.ready > 0 && better)
             {
                 best_cache_ = &each;
             }
@@ -159,12 +159,12 @@
         auto const fetched = fetchable(each);
         auto const fetch = fetch_time(each, fetched) +
                            prefill_time(each, shared_tokens_ - each.kept - fetched);
-        result.read_ms = fixed_time(each) + prefill_own + prefill_rest;
+        result.prefill_ms = fixed_time(each) + prefill_own + prefill_rest;
         if (fetched > 0 && fetch < prefill_rest)
         {
             result.fetch_from = best_cache_->server;
             result.unread -= fetched;
-            result.read_ms = fixed_time(each) + prefill_own + fetch;
+            result.prefill_ms = fixed_time(each) + prefill_own + fetch;
         }
         return result;
     }
@@ -173,12 +173,12 @@
     double total_cost(candidate const& each, placement const& placed) const
     {
         auto const shared =
-            placed.read_ms - fixed_time(each) - prefill_time(each, own_tokens_);
+            placed.prefill_ms - fixed_time(each) - prefill_time(each, own_tokens_);
         bool const home = each.server == (is_prefill_engine(each) ? prefill_rendezvous_
                                                                   : decode_rendezvous_);
         auto const discount =
             home ? options_.home * prefill_time(each, shared_tokens_) : 0.0;
-        return placed.wait_ms + placed.read_ms +
+        return placed.wait_ms + placed.prefill_ms +
                (options_.recompute_weight - 1) * shared - discount + distance_cost(each) +
                spread(each) + (is_sampled(each) ? 0.0 : unsampled_cost);
     }
@@ -188,7 +188,7 @@
     {
         return !is_prefill_engine(each) &&
                (!has_prefill_engine_ ||
-                each.load.unread + placed.unread <= costs_.beside_streams);
+                each.load.unread + placed.unread <= costs_.max_colocated_tokens);
     }
 
     double queue_time(candidate const& each) const
@@ -201,7 +201,7 @@
     {
         bool const near = each.server->data_centre == data_centre_;
         return (near ? 0.0 : options_.remote_cost_ms) +
-               (each.suspect ? suspect_cost : 0.0);
+               (each.avoided ? avoided_cost : 0.0);
     }
 
     /// Whether the call considers this engine: it caches a part of the prompt, is a
@@ -209,17 +209,17 @@
     bool is_sampled(candidate const& each) const
     {
         auto const role = is_prefill_engine(each) ? prefill_engines_ : decode_engines_;
-        bool const few = costs_.choices <= 0 || role <= costs_.choices;
+        bool const few = costs_.sampled_engines <= 0 || role <= costs_.sampled_engines;
         bool const home =
             each.server == prefill_rendezvous_ || each.server == decode_rendezvous_;
         return few || home || each.kept > 0 ||
                hash_fraction(~tie_break_, each.server->id) * static_cast<double>(role) <
-                   static_cast<double>(costs_.choices);
+                   static_cast<double>(costs_.sampled_engines);
     }
 
     double spread(candidate const& each) const
     {
-        auto const most = options_.spread * costs_.unheard_ms;
+        auto const most = options_.spread * costs_.unreported_ms;
         return most <= 0 ? 0.0 : most * hash_fraction(tie_break_, each.server->id);
     }
 
@@ -227,13 +227,14 @@
     double prefill_time(candidate const& each, std::int64_t tokens) const
     {
         auto const speed =
-            is_prefill_engine(each) ? costs_.read_speed : costs_.beside_speed;
+            is_prefill_engine(each) ? costs_.prefill_rate : costs_.colocated_rate;
         return static_cast<double>(tokens) / speed;
     }
 
     double fixed_time(candidate const& each) const
     {
-        return is_prefill_engine(each) ? costs_.read_fixed_ms : costs_.beside_fixed_ms;
+        return is_prefill_engine(each) ? costs_.prefill_fixed_ms
+                                       : costs_.colocated_fixed_ms;
     }
 
     /// Tokens that the engine could fetch from the one that caches most of the prompt.
@@ -308,8 +309,8 @@
         return std::nullopt;
     }
     bool const use_handoff =
-        options.handover && call.own_tokens() >= options.handover_least &&
-        handed_off.cost + costs.handover_ms + options.handoff_cost_ms < colocated.cost;
+        options.handover && call.own_tokens() >= options.min_handoff_tokens &&
+        handed_off.cost + costs.handoff_ms + options.handoff_cost_ms < colocated.cost;
     return plan_of(colocated.chosen == nullptr || use_handoff ? *handed_off.chosen
                                                               : *colocated.chosen);
 }
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -28,23 +28,23 @@
 struct engine_costs
 {
     // 50    tokens per ms; prefill speed of an engine without other work, until observed
-    double read_speed = 50;
+    double prefill_rate = 50;
     // 25    tokens per ms; prefill speed of an engine that also decodes
-    double beside_speed = 25;
+    double colocated_rate = 25;
     // 50    ms; fixed time of each prefill at an engine that also decodes
-    double beside_fixed_ms = 50;
+    double colocated_fixed_ms = 50;
     // 50 and 30  ms; fixed time of each prefill, and from a handoff to the first event
-    double read_fixed_ms = 50;
-    double handover_ms = 30;
+    double prefill_fixed_ms = 50;
+    double handoff_ms = 30;
     // 2000  prefill tokens that may be queued at a decode engine while there are prefill
     //       engines; pause_watch raises it where the streams tolerate more
-    std::int64_t beside_streams = 2000;
-    bool         observed = false; // read_speed is measured, not the default
+    std::int64_t max_colocated_tokens = 2000;
+    bool         observed = false; // prefill_rate is measured, not the default
     // 0     ms; mean prefill time that an engine was given since its last load digest
-    double unheard_ms = 0;
+    double unreported_ms = 0;
     // 0     engines per role that a call samples, on average, besides those that cache
     //       its prompt; 0: it considers all
-    std::int64_t choices = 0;
+    std::int64_t sampled_engines = 0;
 
     bool operator==(engine_costs const&) const = default;
 };
@@ -58,7 +58,7 @@
     //       goes to their rendezvous engine unless another is faster by more than this
     double home = 0.5;
     // 300   tokens; a prompt with fewer unshared tokens is prefilled where it is decoded
-    std::int64_t handover_least = 300;
+    std::int64_t min_handoff_tokens = 300;
     // 15    ms; cost of a handoff besides its time: the bytes moved and the batch slot
     //       at the second engine
     double handoff_cost_ms = 15;
@@ -71,7 +71,8 @@
     // 10 and 500  ms to set up a transfer between engines, and its speed in tokens per ms
     double fetch_setup_ms = 10;
     double fetch_speed = 500;
-    // 2     times unheard_ms; range of the random part of an engine's cost. Without it,
+    // 2     times unreported_ms; range of the random part of an engine's cost. Without
+    // it,
     //       all VMs choose the engine that was idle in the last digests
     double spread = 2;
     bool   fetch = true;    // allow fetching cached parts from other engines
@@ -85,7 +86,7 @@
 {
     backend_server const* server = nullptr;
     server_load           load;
-    bool                  suspect = false; // avoided after failures; last choice
+    bool                  avoided = false; // avoided after failures; last choice
     std::int64_t          kept = 0;  // tokens of shared parts cached or being computed
     std::int64_t          ready = 0; // of these, already computed
 };
@@ -95,9 +96,9 @@
 {
     backend_server const* server = nullptr;
     bool                  prefill_only = false; // prefill here, decode at another engine
-    std::int64_t unread = 0;  // tokens to prefill there, as far as caches are known
-    double       wait_ms = 0; // until the prefill queued before it is done
-    double       read_ms = 0; // that its prefill and fetching take
+    std::int64_t unread = 0;     // tokens to prefill there, as far as caches are known
+    double       wait_ms = 0;    // until the prefill queued before it is done
+    double       prefill_ms = 0; // that its prefill and fetching take
     backend_server const* fetch_from =
         nullptr; // its cached parts are fetched; null: none
 };
--- a/src/policy/poison_list.hpp
+++ b/src/policy/poison_list.hpp
@@ -28,9 +28,9 @@
 /// How a request with this content may run.
 enum class poison_verdict
 {
-    innocent,
+    allowed,
     suspect, // one crash: may run only alone on its server
-    guilty   // two crashes: must not run
+    blocked  // two crashes: must not run
 };
 
 /// The crashes during which one content was in flight.
@@ -84,7 +84,7 @@
 
     /// Clears a suspect that completed alone on its server or is excused. Content with
     /// two crashes stays blocked.
-    void ran_whole(std::string const& content, bool alone)
+    void record_completion(std::string const& content, bool alone)
     {
         auto const found = entries_.find(content);
         if (found != entries_.end() && (alone || found->second.excused))
@@ -103,18 +103,18 @@
         }
     }
 
-    poison_verdict judge(std::string const& content, boot_clock::time_point now) const
+    poison_verdict evaluate(std::string const& content, boot_clock::time_point now) const
     {
         auto const found = entries_.find(content);
         if (found == entries_.end() || now - found->second.last >= options_.keep)
         {
-            return poison_verdict::innocent;
+            return poison_verdict::allowed;
         }
         if (found->second.crashes.size() >= blocking_crashes)
         {
-            return poison_verdict::guilty;
+            return poison_verdict::blocked;
         }
-        return found->second.excused ? poison_verdict::innocent : poison_verdict::suspect;
+        return found->second.excused ? poison_verdict::allowed : poison_verdict::suspect;
     }
 
     std::map<std::string, poison_entry> const& entries() const noexcept
--- a/src/policy/prefix_directory.cpp
+++ b/src/policy/prefix_directory.cpp
@@ -45,12 +45,12 @@
         auto const part = part_hash(prompt[index].id);
         if (note_use(part, server, prefill_time, now))
         {
-            unpublished_[news_source::own][server].push_back(part);
+            unpublished_[update_source::own][server].push_back(part);
         }
     }
 }
 
-void prefix_directory::hear(prefix_news const& update, news_source source,
+void prefix_directory::hear(prefix_news const& update, update_source source,
                             boot_clock::time_point now)
 {
     for (auto const part : update.parts)
--- a/src/policy/prefix_directory.hpp
+++ b/src/policy/prefix_directory.hpp
@@ -13,7 +13,7 @@
 
 #include "domain/boot_clock.hpp"
 #include "domain/caller_call.hpp"
-#include "policy/news_source.hpp"
+#include "policy/update_source.hpp"
 
 #include <cstdint>
 #include <map>
@@ -37,7 +37,7 @@
 };
 
 /// Updates by whose attempts they are about.
-using prefix_news_by_source = std::map<news_source, std::vector<prefix_news>>;
+using prefix_news_by_source = std::map<update_source, std::vector<prefix_news>>;
 
 /// Tokens of one prompt in one engine's cache.
 struct cached_tokens
@@ -77,7 +77,8 @@
 
     /// Receives an update from another VM about its own attempts or, if it is a relay,
     /// about those that it received.
-    void hear(prefix_news const& update, news_source source, boot_clock::time_point now);
+    void hear(prefix_news const& update, update_source source,
+              boot_clock::time_point now);
 
     /// Drops all parts of an engine whose cache is empty after a restart or a change of
     /// role.
@@ -130,7 +131,7 @@
     // The parts of each engine. Without this index, removing an engine would search every
     // part, and a fleet can lose a hundred engines at once.
     std::unordered_map<std::string, part_set> parts_by_server_;
-    std::map<news_source, pending_parts>      unpublished_;
+    std::map<update_source, pending_parts>    unpublished_;
 };
 
 /// Hash under which VMs publish a part.
--- a/src/policy/read_model.hpp
+++ b/src/policy/read_model.hpp
@@ -108,7 +108,7 @@
     }
 
     /// Time from a handoff to the first event, in ms.
-    double handover_ms() const noexcept
+    double handoff_ms() const noexcept
     {
         return handoff_ms_;
     }
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -16,7 +16,7 @@
 }
 } // namespace
 
-retry_decision judge_retry(retry_input const& input, admission_options const& options)
+retry_decision decide_retry(retry_input const& input, admission_options const& options)
 {
     if (!input.repeatable)
     {
@@ -33,7 +33,7 @@
     {
         return refuse(refusal_cause::backend_server_failed, input);
     }
-    return {input.content_crashes > 0 ? retry_verdict::again_alone : retry_verdict::retry,
+    return {input.content_crashes > 0 ? retry_verdict::retry_alone : retry_verdict::retry,
             {},
             input};
 }
--- a/src/policy/retry.hpp
+++ b/src/policy/retry.hpp
@@ -1,6 +1,6 @@
 // Decides whether a request whose engine failed is retried.
 //
-// Index: 1 retry_input, 2 retry_decision, 3 judge_retry
+// Index: 1 retry_input, 2 retry_decision, 3 decide_retry
 #ifndef MARIGOLDCRANK_POLICY_RETRY_HPP
 #define MARIGOLDCRANK_POLICY_RETRY_HPP
 
@@ -28,7 +28,7 @@
 enum class retry_verdict
 {
     retry,
-    again_alone, // on an engine without other work, as its content is a suspect
+    retry_alone, // on an engine without other work, as its content is a suspect
     refuse
 };
 
@@ -45,7 +45,7 @@
 /// of a zone does not double the load on the remaining engines. Content in flight at a
 /// crash is a suspect and is retried only alone on an engine. If that engine crashes too,
 /// the content is treated as poison: no other request can have caused the crash.
-retry_decision judge_retry(retry_input const& input, admission_options const& options);
+retry_decision decide_retry(retry_input const& input, admission_options const& options);
 
 } // namespace marigoldcrank
 
--- a/src/policy/retry_gate.hpp
+++ b/src/policy/retry_gate.hpp
@@ -1,6 +1,6 @@
 // Exponential backoff for calls to a dependency that fails.
 //
-// Index: 1 retry_gate_options, 2 patient_retries, 3 retry_gate
+// Index: 1 retry_gate_options, 2 slow_retries, 3 retry_gate
 //
 // It limits the load during an outage of the store, when every VM of a large fleet would
 // otherwise call the store several times a second for each topic. With 84 VMs and two
@@ -25,8 +25,8 @@
 };
 
 /// Pauses for calls whose results other VMs also obtain and pass on to this one.
-constexpr retry_gate_options patient_retries{.initial_pause = millis{1000},
-                                             .max_pause = millis{8000}};
+constexpr retry_gate_options slow_retries{.initial_pause = millis{1000},
+                                          .max_pause = millis{8000}};
 
 /// Does no I/O; the caller passes in the time.
 class retry_gate
@@ -65,7 +65,7 @@
     /// store itself. It waits only if the relays have lost the store as well. A VM that
     /// alone lost its connection must read at once, before it sends calls to servers that
     /// have left in the meantime.
-    bool holds_back(bool relays_lost_store, boot_clock::time_point now) const noexcept
+    bool must_wait(bool relays_lost_store, boot_clock::time_point now) const noexcept
     {
         return relays_lost_store && !open(now);
     }
--- a/src/policy/route.cpp
+++ b/src/policy/route.cpp
@@ -208,8 +208,8 @@
     return chosen;
 }
 
-std::int64_t free_decode_places(std::span<engine_view const> views,
-                                engine_speed const& speed, std::int64_t fill_percent)
+std::int64_t free_decode_slots(std::span<engine_view const> views,
+                               engine_speed const& speed, std::int64_t fill_percent)
 {
     std::int64_t places = 0;
     std::int64_t streams = 0;
@@ -244,10 +244,10 @@
         static_cast<std::int64_t>(server.load.lag_ms);
     view.own = {server.own_running, server.own_prompt_tokens};
     view.queued_at_us = now_us;
-    own_work const reported{server.load.running + server.load.waiting,
-                            server.load.prefill_tokens};
-    take_report(view, {reported, sample_of(view, now_us, speed), age}, request.entries,
-                now_us, speed, options);
+    engine_work const reported{server.load.running + server.load.waiting,
+                               server.load.prefill_tokens};
+    apply_report(view, {reported, sample_of(view, now_us, speed), age}, request.entries,
+                 now_us, speed, options);
     view.slowdown = server.slowdown;
     // A frozen or unreachable server sends no reports. Missed reports count as failures;
     // otherwise it would look as busy as the others and be chosen like them.
--- a/src/policy/route.hpp
+++ b/src/policy/route.hpp
@@ -102,8 +102,8 @@
 /// Batch slots of the decode engines, filled to `fill_percent`, that are left once the
 /// streams of all open engines, including those still in prefill, need a slot. Negative
 /// if there will not be enough.
-std::int64_t free_decode_places(std::span<engine_view const> views,
-                                engine_speed const& speed, std::int64_t fill_percent);
+std::int64_t free_decode_slots(std::span<engine_view const> views,
+                               engine_speed const& speed, std::int64_t fill_percent);
 
 /// The state of one backend server as an entry VM knows it.
 struct server_view
--- a/src/policy/server_health.hpp
+++ b/src/policy/server_health.hpp
@@ -5,7 +5,7 @@
 #define MARIGOLDCRANK_POLICY_SERVER_HEALTH_HPP
 
 #include "domain/boot_clock.hpp"
-#include "policy/news_source.hpp"
+#include "policy/update_source.hpp"
 
 #include <algorithm>
 #include <map>
@@ -58,7 +58,7 @@
         }
         if (lost)
         {
-            state.published[news_source::own] = state.until;
+            state.published[update_source::own] = state.until;
         }
     }
 
@@ -73,11 +73,11 @@
     void changed(std::string const& server, boot_clock::time_point now)
     {
         pause(server, now + options_.changed_pause);
-        states_[server].published[news_source::own] = now + options_.changed_pause;
+        states_[server].published[update_source::own] = now + options_.changed_pause;
     }
 
     /// Merges another VM's update: that VM avoids the server for `left`.
-    void hear(std::string const& server, millis left, news_source source,
+    void hear(std::string const& server, millis left, update_source source,
               boot_clock::time_point now)
     {
         auto const until = now + std::clamp(left, millis{0}, options_.longest_pause);
@@ -87,8 +87,8 @@
 
     /// Servers that other VMs should avoid and for how long, from the sources up to
     /// `widest`.
-    std::map<std::string, millis> news(news_source            widest,
-                                       boot_clock::time_point now) const
+    std::map<std::string, millis> updates(update_source          widest,
+                                          boot_clock::time_point now) const
     {
         std::map<std::string, millis> result;
         for (auto const& [server, state] : states_)
@@ -106,7 +106,7 @@
         return result;
     }
 
-    bool suspect(std::string const& server, boot_clock::time_point now) const
+    bool avoided(std::string const& server, boot_clock::time_point now) const
     {
         auto const found = states_.find(server);
         return found != states_.end() && now < found->second.until;
@@ -122,9 +122,9 @@
 
     struct server_state
     {
-        int                                           count = 0; // consecutive failures
-        boot_clock::time_point                        until{};   // end of the pause
-        std::map<news_source, boot_clock::time_point> published; // pause ends
+        int                                             count = 0; // consecutive failures
+        boot_clock::time_point                          until{};   // end of the pause
+        std::map<update_source, boot_clock::time_point> published; // pause ends
     };
 
     void pause(std::string const& server, boot_clock::time_point until)
--- a/src/policy/target_judgement.cpp
+++ b/src/policy/target_evaluation.cpp
@@ -1,5 +1,5 @@
 // Evaluation of latency targets.
-#include "policy/target_judgement.hpp"
+#include "policy/target_evaluation.hpp"
 
 #include <algorithm>
 #include <array>
@@ -50,8 +50,9 @@
                                                  : target_state::missed;
 }
 
-target_verdict judge_target(target_rule const&             rule,
-                            std::span<target_sample const> samples, std::int64_t now_ms)
+target_verdict evaluate_target(target_rule const&             rule,
+                               std::span<target_sample const> samples,
+                               std::int64_t                   now_ms)
 {
     target_verdict verdict{.rule = rule.id,
                            .workspace = rule.workspace,
--- a/src/policy/target_judgement.hpp
+++ b/src/policy/target_evaluation.hpp
@@ -1,11 +1,11 @@
 // Evaluates whether latency targets were met, from samples of finished calls.
 //
-// Index: 1 target_sample, 2 target_verdict, 3 judge_target
+// Index: 1 target_sample, 2 target_verdict, 3 evaluate_target
 //
 // A sample holds what the span `finish` of a model call records, so any process with the
 // spans and the rules gets the same verdict from the same function.
-#ifndef MARIGOLDCRANK_POLICY_TARGET_JUDGEMENT_HPP
-#define MARIGOLDCRANK_POLICY_TARGET_JUDGEMENT_HPP
+#ifndef MARIGOLDCRANK_POLICY_TARGET_EVALUATION_HPP
+#define MARIGOLDCRANK_POLICY_TARGET_EVALUATION_HPP
 
 #include "domain/configuration.hpp"
 
@@ -61,8 +61,9 @@
 bool counts(target_sample const& sample);
 
 /// Evaluates the calls that ended in the rule's window before `now_ms`.
-target_verdict judge_target(target_rule const&             rule,
-                            std::span<target_sample const> samples, std::int64_t now_ms);
+target_verdict evaluate_target(target_rule const&             rule,
+                               std::span<target_sample const> samples,
+                               std::int64_t                   now_ms);
 
 /// The state from the numbers of calls and of met calls, which may be sums over entry
 /// VMs.
--- a/src/policy/wait_judgement.hpp
+++ b/src/policy/wait_limit.hpp
@@ -6,8 +6,8 @@
 // every call in them is late, and each call whose caller gives up has delayed those
 // behind it. A call that would be served far too late is therefore refused while its
 // caller still has time to retry.
-#ifndef MARIGOLDCRANK_POLICY_WAIT_JUDGEMENT_HPP
-#define MARIGOLDCRANK_POLICY_WAIT_JUDGEMENT_HPP
+#ifndef MARIGOLDCRANK_POLICY_WAIT_LIMIT_HPP
+#define MARIGOLDCRANK_POLICY_WAIT_LIMIT_HPP
 
 #include "domain/boot_clock.hpp"
 #include "policy/placement.hpp"
@@ -26,7 +26,7 @@
     double longest_wait = 2.5;
     // 250 and 2000  ms; limits of the retry delay that the caller is given
     millis min_retry_after{250};
-    millis latest{2000};
+    millis max_retry_after{2000};
 
     bool operator==(wait_options const&) const = default;
 };
@@ -49,7 +49,7 @@
     {
         return std::nullopt;
     }
-    auto const wait_ms = input.placed.wait_ms + input.placed.read_ms;
+    auto const wait_ms = input.placed.wait_ms + input.placed.prefill_ms;
     auto const objective = static_cast<double>(input.objective.count());
     auto const limit = std::min(objective * options.longest_wait,
                                 static_cast<double>(input.left.count()));
@@ -60,7 +60,7 @@
         return std::nullopt;
     }
     auto const excess = millis{std::llround(wait_ms - objective)};
-    return std::clamp(excess, options.min_retry_after, options.latest);
+    return std::clamp(excess, options.min_retry_after, options.max_retry_after);
 }
 
 } // namespace marigoldcrank
--- a/src/serving/call_admission.cpp
+++ b/src/serving/call_admission.cpp
@@ -74,7 +74,7 @@
     {
         return refusal;
     }
-    if (state.crashes.guilty(admitted.content, arrived))
+    if (state.crashes.blocked(admitted.content, arrived))
     {
         return own_response{503, call_fate::not_run, "poison", poison_retry_after};
     }
--- a/src/serving/call_notes.cpp
+++ b/src/serving/call_notes.cpp
@@ -32,7 +32,7 @@
         .add("run", plan.run)
         .add("tokens", planned.unread)
         .add("wait_ms", std::llround(planned.wait_ms))
-        .add("read_ms", std::llround(planned.read_ms))
+        .add("read_ms", std::llround(planned.prefill_ms))
         .add("fetch", planned.fetch_from == nullptr ? "" : planned.fetch_from->id)
         .add("rules", version_of(admitted))
         .add("left_ms", admitted.deadline - loop_clock::now());
@@ -42,7 +42,7 @@
 void call_log::attempt_failed(attempt_failure const& failure)
 {
     auto const now = boot_clock::now();
-    auto const fate = exchange_fate_name(failure.fate);
+    auto const fate = attempt_outcome_name(failure.fate);
     state_.counters.add("failed_sends_total", std::string{"fate=\""} + fate + "\"");
     state_.log.write(event_line{failure.event}
                          .add("id", id_)
--- a/src/serving/call_notes.hpp
+++ b/src/serving/call_notes.hpp
@@ -4,8 +4,8 @@
 #ifndef MARIGOLDCRANK_SERVING_CALL_NOTES_HPP
 #define MARIGOLDCRANK_SERVING_CALL_NOTES_HPP
 
+#include "policy/attempt_history.hpp"
 #include "policy/placement.hpp"
-#include "policy/send_account.hpp"
 #include "serving/call_admission.hpp"
 #include "serving/stream_pace.hpp"
 
@@ -32,7 +32,7 @@
 {
     std::string_view event; // name of the log line
     std::string_view server;
-    exchange_fate    fate = exchange_fate::unknown;
+    attempt_outcome  fate = attempt_outcome::unknown;
     std::string_view fault;
     unsigned         status = 0;
 };
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -75,7 +75,7 @@
             caller_.stop_watching();
         }
         --state_.calls_in_work;
-        if (quota_hold_.units > 0 && !attempts_.history().maybe_run() &&
+        if (quota_hold_.units > 0 && !attempts_.history().may_have_run() &&
             state_.quotas != nullptr)
         {
             state_.quotas->give_back(quota_hold_);
@@ -148,7 +148,7 @@
                 co_return;
             }
             attempts_.record_result(result_of(link, fate));
-            if (fate != exchange_fate::answered)
+            if (fate != attempt_outcome::answered)
             {
                 continue;
             }
@@ -170,7 +170,7 @@
                 co_await link.read_complete_body(body, attempts_.attempt_deadline());
             if (!whole && !caller_.disconnected())
             {
-                attempts_.record_result(result_of(link, exchange_fate::unknown));
+                attempts_.record_result(result_of(link, attempt_outcome::unknown));
             }
             if (!whole)
             {
@@ -188,7 +188,7 @@
             co_return true;
         }
         // The server's own failure is the response if no other server serves the call.
-        attempts_.record_server_failure(result_of(link, exchange_fate::answered));
+        attempts_.record_server_failure(result_of(link, attempt_outcome::answered));
         server_failure_ = std::move(bytes);
         server_failure_status_ = status;
         if (attempts_.may_retry())
@@ -286,7 +286,7 @@
         auto const         fate = co_await send_message(link, message, true, until);
         std::string        body;
         constexpr unsigned ok = 200;
-        bool answered = fate == exchange_fate::answered && link.facts().status == ok;
+        bool answered = fate == attempt_outcome::answered && link.facts().status == ok;
         if (answered)
         {
             answered = co_await link.read_complete_body(body, until);
@@ -329,7 +329,7 @@
             co_return true;
         }
         attempts_.record_result(result_of(link, fate));
-        if (fate != exchange_fate::answered)
+        if (fate != attempt_outcome::answered)
         {
             co_return false;
         }
@@ -371,7 +371,7 @@
             end_stream(link);
             co_return true;
         }
-        attempts_.record_result(result_of(link, exchange_fate::unknown));
+        attempts_.record_result(result_of(link, attempt_outcome::unknown));
         if (stream_.started() && !attempts_.may_retry())
         {
             co_return co_await abort_stream(attempts_.fault());
@@ -466,7 +466,7 @@
 
     /// Sends the call to be run. `source` is where the KV cache of its prompt is; empty
     /// if no other engine has prefilled it.
-    boost::asio::awaitable<exchange_fate>
+    boost::asio::awaitable<attempt_outcome>
     send_call(exchange& link, std::string const& source, loop_time until)
     {
         auto message = attempt_options_for(link.server());
@@ -475,7 +475,7 @@
         return send_message(link, message, false, until);
     }
 
-    boost::asio::awaitable<exchange_fate>
+    boost::asio::awaitable<attempt_outcome>
     send_message(exchange& link, onward_call message, bool internal, loop_time until)
     {
         exchange_request request{.message = Dialect::build_onward(request_, message),
@@ -486,7 +486,7 @@
         co_return co_await link.start(std::move(request));
     }
 
-    static attempt_result result_of(exchange& link, exchange_fate fate)
+    static attempt_result result_of(exchange& link, attempt_outcome fate)
     {
         return {.server = link.server().id,
                 .fate = fate,
@@ -537,7 +537,7 @@
                                              server_failure_status_);
         }
         bool const late = !attempts_.time_left();
-        if (attempts_.history().maybe_run())
+        if (attempts_.history().may_have_run())
         {
             own_response const unknown{late ? 504U : 502U, call_fate::outcome_unknown,
                                        attempts_.fault(), std::nullopt};
--- a/src/serving/call_sends.cpp
+++ b/src/serving/call_sends.cpp
@@ -78,7 +78,7 @@
     last_server_ = server;
 }
 
-send_terms call_attempts::terms() const
+attempt_limits call_attempts::terms() const
 {
     return {admitted_.repeatable, admitted_.matched->max_servers};
 }
@@ -97,14 +97,14 @@
 void call_attempts::record_result(attempt_result const& result)
 {
     history_.end(result.fate);
-    if (result.fate == exchange_fate::answered)
+    if (result.fate == attempt_outcome::answered)
     {
         return;
     }
     tried_.insert(result.server);
     last_fault_ = result.fault.empty() ? "broken" : result.fault;
     report_health(result);
-    if (result.fate == exchange_fate::unknown)
+    if (result.fate == attempt_outcome::unknown)
     {
         report_suspected_crash(result.server);
     }
@@ -122,9 +122,9 @@
 void call_attempts::record_failed_prefill(attempt_result const& result)
 {
     report_health(result);
-    if (result.fate != exchange_fate::not_sent)
+    if (result.fate != attempt_outcome::not_sent)
     {
-        history_.read_failed();
+        history_.prefill_failed();
         prefill_failed_ = true;
     }
     log_failure("prefill_failed", result);
@@ -134,15 +134,15 @@
 {
     constexpr unsigned misdirected = 421;
     auto const         now = boot_clock::now();
-    if (result.fate == exchange_fate::not_run && result.status == misdirected)
+    if (result.fate == attempt_outcome::not_run && result.status == misdirected)
     {
         state_.health.changed(result.server, now);
     }
-    else if (result.fate == exchange_fate::not_run)
+    else if (result.fate == attempt_outcome::not_run)
     {
         state_.health.refused(result.server, now);
     }
-    else if (result.fate == exchange_fate::unknown)
+    else if (result.fate == attempt_outcome::unknown)
     {
         state_.health.failed(result.server, result.fault == "broken", now);
     }
@@ -153,10 +153,10 @@
     auto const listed = state_.servers.servers().find(server);
     bool const leaving =
         listed == state_.servers.servers().end() || listed->second.leaving;
-    crash_news const crash{
+    crash_update const crash{
         .content = admitted_.content, .server = server, .call_id = call_.id};
     bool const ended = last_fault_ == "broken";
-    if (ended && !leaving && state_.crashes.crashed(crash, boot_clock::now()))
+    if (ended && !leaving && state_.crashes.record_crash(crash, boot_clock::now()))
     {
         log_.crash_suspected(crash.content, crash.server);
     }
--- a/src/serving/call_sends.hpp
+++ b/src/serving/call_sends.hpp
@@ -4,7 +4,7 @@
 #ifndef MARIGOLDCRANK_SERVING_CALL_SENDS_HPP
 #define MARIGOLDCRANK_SERVING_CALL_SENDS_HPP
 
-#include "policy/send_account.hpp"
+#include "policy/attempt_history.hpp"
 #include "serving/call_admission.hpp"
 #include "serving/call_notes.hpp"
 
@@ -20,7 +20,7 @@
 struct attempt_result
 {
     std::string      server;
-    exchange_fate    fate = exchange_fate::unknown;
+    attempt_outcome  fate = attempt_outcome::unknown;
     std::string_view fault; // of a fixed set of words; empty: response interrupted
     unsigned         status = 0;
 };
@@ -94,13 +94,13 @@
         return last_server_;
     }
 
-    send_account const& history() const noexcept
+    attempt_history const& history() const noexcept
     {
         return history_;
     }
 
 private:
-    send_terms terms() const;
+    attempt_limits terms() const;
     /// Takes one retry from the budget of the service; false if it is exhausted.
     bool take_retry();
 
@@ -117,7 +117,7 @@
     call_log&             log_;
     caller_call const&    call_;
     admitted_call const&  admitted_;
-    send_account          history_;
+    attempt_history       history_;
     std::set<std::string> tried_;
     bool more_servers_ = false;   // another server can be tried after the current one
     bool prefill_failed_ = false; // a prefill was sent and returned no handle
--- a/src/serving/digest_link.hpp
+++ b/src/serving/digest_link.hpp
@@ -28,7 +28,7 @@
 /// The parts of a digest besides the load, which relays don't sum up.
 struct digest_extras
 {
-    std::vector<crash_news>       crashes;
+    std::vector<crash_update>     crashes;
     std::vector<usage_record>     usage; // the sender's counts
     std::vector<prefix_news>      prefixes;
     std::map<std::string, millis> avoided; // by server: remaining backoff
--- a/src/serving/duty_worker.hpp
+++ b/src/serving/duty_worker.hpp
@@ -170,7 +170,7 @@
             // The relay of a member also appends the member's counts, which it has from
             // digests, so a member can retry less often.
             bool const member = state_.reads_via_peers && !state_.is_first_relay;
-            append_gate_.limit(member ? patient_retries : retry_gate_options{});
+            append_gate_.limit(member ? slow_retries : retry_gate_options{});
             append_gate_.failed(boot_clock::now());
         }
         if (appended)
--- a/src/serving/entry_state.cpp
+++ b/src/serving/entry_state.cpp
@@ -81,7 +81,7 @@
         auto const load = loads.find(id);
         candidate  each{.server = &server,
                         .load = peers.at(id, now),
-                        .suspect = health.suspect(id, now)};
+                        .avoided = health.avoided(id, now)};
         if (load != loads.end())
         {
             each.load.add(load->second);
--- a/src/serving/fleet_orders.hpp
+++ b/src/serving/fleet_orders.hpp
@@ -221,7 +221,7 @@
         auto const demand = state_.demand(value.name, boot_clock::now());
         auto       need = marigoldcrank::need_of(demand, engines.front().server->slots,
                                                  role_split_options{});
-        need.beside = state_.pauses[value.name].bears_reading(state_.settings.beside);
+        need.beside = state_.pauses[value.name].tolerates_prefill(state_.settings.beside);
         return need;
     }
 
--- a/src/serving/model_placing.cpp
+++ b/src/serving/model_placing.cpp
@@ -1,7 +1,7 @@
 // Choice of engines, deadlines and measured times of model calls.
 #include "serving/model_placing.hpp"
 
-#include "policy/wait_judgement.hpp"
+#include "policy/wait_limit.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -16,7 +16,7 @@
 //       its response is lost, or the engine so slow that a prefill elsewhere ends sooner
 constexpr int prefill_time_factor = 3;
 // 4     engines of a role that a call chooses from when load digests come through relays
-constexpr std::int64_t choices = 4;
+constexpr std::int64_t sampled_engines = 4;
 constexpr millis       min_prefill_time{600};
 // 4     times the route's objective is the least deadline of the first event
 constexpr int first_event_objectives = 4;
@@ -43,7 +43,7 @@
 void model_placement::count_demand(boot_clock::time_point arrived)
 {
     // Short prompts are always prefilled colocated.
-    if (needs_prefill() && call_.own_tokens() >= placement_options{}.handover_least)
+    if (needs_prefill() && call_.own_tokens() >= placement_options{}.min_handoff_tokens)
     {
         meter().prompt(call_.own_tokens(), arrived);
     }
@@ -98,7 +98,7 @@
         return now + (admitted_.deadline - now) / 2;
     }
     auto const expected =
-        millis{std::llround(std::ceil(placed.wait_ms + placed.read_ms))};
+        millis{std::llround(std::ceil(placed.wait_ms + placed.prefill_ms))};
     return std::min(admitted_.deadline,
                     now + expected * prefill_time_factor + min_prefill_time);
 }
@@ -115,18 +115,19 @@
     auto const& prefills = meter().reads();
     auto const& beside = meter().beside();
     auto const& pauses = state_.pauses[admitted_.service_name];
-    return {.read_speed = prefills.speed(),
-            .beside_speed = beside.speed(),
-            .beside_fixed_ms = beside.fixed_ms(),
-            .read_fixed_ms = prefills.fixed_ms(),
-            .handover_ms = prefills.handover_ms(),
-            .beside_streams = pauses.beside_streams(state_.settings.beside),
+    return {.prefill_rate = prefills.speed(),
+            .colocated_rate = beside.speed(),
+            .colocated_fixed_ms = beside.fixed_ms(),
+            .prefill_fixed_ms = prefills.fixed_ms(),
+            .handoff_ms = prefills.handoff_ms(),
+            .max_colocated_tokens = pauses.max_colocated_tokens(state_.settings.beside),
             .observed = prefills.observed(),
-            .unheard_ms = state_.settings.spread ? unheard_ms() : 0,
-            .choices = state_.settings.spread && state_.relays_used() ? choices : 0};
+            .unreported_ms = state_.settings.spread ? unreported_ms() : 0,
+            .sampled_engines =
+                state_.settings.spread && state_.relays_used() ? sampled_engines : 0};
 }
 
-double model_placement::unheard_ms() const
+double model_placement::unreported_ms() const
 {
     auto const now = boot_clock::now();
     auto const engines = static_cast<double>(state_.servers_of(admitted_.service_name));
@@ -159,7 +160,8 @@
 {
     if (needs_prefill())
     {
-        auto const prefill_time = millis{std::llround(planned.wait_ms + planned.read_ms)};
+        auto const prefill_time =
+            millis{std::llround(planned.wait_ms + planned.prefill_ms)};
         state_.prefixes.sent(server, call_.prompt, prefill_time, boot_clock::now());
     }
 }
@@ -191,8 +193,8 @@
 void model_placement::record_stream(std::int64_t chunk_count, boot_clock::duration took,
                                     boot_clock::duration longest_pause)
 {
-    state_.pauses[admitted_.service_name].ended(chunk_count, longest_pause,
-                                                admitted_.matched->event_gap);
+    state_.pauses[admitted_.service_name].stream_ended(chunk_count, longest_pause,
+                                                       admitted_.matched->event_gap);
     meter().stream(chunk_count, took, boot_clock::now());
 }
 
--- a/src/serving/model_placing.hpp
+++ b/src/serving/model_placing.hpp
@@ -66,7 +66,7 @@
     work_meter&  meter() const;
     engine_costs costs() const;
     /// Prefill work per engine that isn't in the digests yet, in ms, from demand and age.
-    double unheard_ms() const;
+    double unreported_ms() const;
 
     /// The candidates with the tokens of this prompt that they have cached.
     std::vector<candidate> with_cached_tokens(std::vector<candidate> candidates) const;
--- a/src/serving/peer_exchange.cpp
+++ b/src/serving/peer_exchange.cpp
@@ -27,29 +27,29 @@
 
 /// The sources whose observations a digest includes: the digest of a VM only its own,
 /// that of a data centre those of its VMs, that of the fleet all.
-news_source widest_source(digest_scope scope)
+update_source widest_source(digest_scope scope)
 {
     switch (scope)
     {
     case digest_scope::vm:
-        return news_source::own;
+        return update_source::own;
     case digest_scope::centre:
-        return news_source::centre;
+        return update_source::centre;
     case digest_scope::fleet:
         break;
     }
-    return news_source::others;
+    return update_source::others;
 }
 
 std::vector<prefix_news> prefixes_for(digest_scope                 scope,
                                       prefix_news_by_source const& prefix_updates)
 {
     std::vector<prefix_news> result;
-    for (auto const& [source, news] : prefix_updates)
+    for (auto const& [source, updates] : prefix_updates)
     {
         if (source <= widest_source(scope))
         {
-            result.insert(result.end(), news.begin(), news.end());
+            result.insert(result.end(), updates.begin(), updates.end());
         }
     }
     return result;
@@ -82,7 +82,7 @@
 {
     digests_.drain();
     auto const    now = boot_clock::now();
-    digest_extras extras{.crashes = state_.crashes.news(now),
+    digest_extras extras{.crashes = state_.crashes.updates(now),
                          .records = state_.contact.records};
     state_.fleet.note(state_.peers.vms(now) + 1, listed_vms_, now);
     auto const prefix_updates = state_.prefixes.take_news();
@@ -98,7 +98,7 @@
         extras.usage = own && rounds_ % usage_interval == 0 ? state_.recent_usage()
                                                             : std::vector<usage_record>{};
         extras.prefixes = prefixes_for(digest.scope, prefix_updates);
-        extras.avoided = state_.health.news(widest_source(digest.scope), now);
+        extras.avoided = state_.health.updates(widest_source(digest.scope), now);
         extras.heard = digest.scope == digest_scope::fleet && quotas_
                            ? quotas_->homes_heard(now)
                            : std::vector<std::string>{};
@@ -115,7 +115,7 @@
 {
     auto const now = boot_clock::now();
     auto const scope = digest.scope;
-    if (!state_.peers.absorb(std::move(digest), now))
+    if (!state_.peers.merge(std::move(digest), now))
     {
         return;
     }
@@ -126,10 +126,10 @@
     }
     for (auto const& each : extras.crashes)
     {
-        state_.crashes.absorb(each, now);
+        state_.crashes.merge(each, now);
     }
     auto const source =
-        scope == digest_scope::vm ? news_source::centre : news_source::others;
+        scope == digest_scope::vm ? update_source::centre : update_source::others;
     for (auto const& [server, left] : extras.avoided)
     {
         if (state_.settings.warn)
--- a/src/serving/server_exchange.hpp
+++ b/src/serving/server_exchange.hpp
@@ -4,7 +4,7 @@
 #ifndef MARIGOLDCRANK_SERVING_SERVER_EXCHANGE_HPP
 #define MARIGOLDCRANK_SERVING_SERVER_EXCHANGE_HPP
 
-#include "policy/send_account.hpp"
+#include "policy/attempt_history.hpp"
 #include "serving/entry_state.hpp"
 
 #include <boost/asio/this_coro.hpp>
@@ -51,20 +51,20 @@
     }
 
     /// Connects, sends the request, and reads heads until one belongs to this call.
-    boost::asio::awaitable<exchange_fate> start(exchange_request request)
+    boost::asio::awaitable<attempt_outcome> start(exchange_request request)
     {
         bool const head_only = request.message.method_string() == "HEAD";
         internal_ = request.internal;
         if (!co_await open(request))
         {
-            co_return exchange_fate::not_sent;
+            co_return attempt_outcome::not_sent;
         }
         auto const sent =
             co_await connection_->send(std::move(request.message), request.until);
         if (sent != link_step::ok)
         {
             fault_ = "send";
-            co_return exchange_fate::unknown;
+            co_return attempt_outcome::unknown;
         }
         for (int responses = 0; responses < max_stray_responses; ++responses)
         {
@@ -74,7 +74,7 @@
                 fault_ = read == link_step::timed_out   ? "timeout"
                          : read == link_step::malformed ? "malformed"
                                                         : "broken";
-                co_return exchange_fate::unknown;
+                co_return attempt_outcome::unknown;
             }
             facts_ = Dialect::read_answer(connection_->head());
             if (facts_.call_id.empty() || facts_.call_id == request.call_id)
@@ -88,11 +88,11 @@
             if (!co_await skip_body(request.until))
             {
                 fault_ = "stray";
-                co_return exchange_fate::unknown;
+                co_return attempt_outcome::unknown;
             }
         }
         fault_ = "stray";
-        co_return exchange_fate::unknown;
+        co_return attempt_outcome::unknown;
     }
 
     answer_facts const& facts() const noexcept
@@ -169,13 +169,13 @@
         co_return true;
     }
 
-    exchange_fate evaluate_head()
+    attempt_outcome evaluate_head()
     {
         connection_->idle_limit = facts_.idle_limit;
         if (facts_.not_run)
         {
             fault_ = "refused";
-            return exchange_fate::not_run;
+            return attempt_outcome::not_run;
         }
         constexpr unsigned first_success = 200;
         constexpr unsigned first_redirect = 300;
@@ -186,9 +186,9 @@
         if ((success && !facts_.signed_whole && !internal_) || facts_.encoded)
         {
             fault_ = "unsigned";
-            return exchange_fate::unknown;
+            return attempt_outcome::unknown;
         }
-        return exchange_fate::answered;
+        return attempt_outcome::answered;
     }
 
     boost::asio::awaitable<bool> skip_body(loop_time until)
--- a/src/serving/shared_store.hpp
+++ b/src/serving/shared_store.hpp
@@ -141,9 +141,9 @@
     read_store(unsigned lane, std::string const& topic, std::uint64_t from, millis wait)
     {
         auto const sent = boot_clock::now();
-        auto&      gate = gates_.try_emplace(topic, patient_retries).first->second;
+        auto&      gate = gates_.try_emplace(topic, slow_retries).first->second;
         bool const lost = reads_via_relays(topic) && link_->relays_lost_store();
-        if (gate.holds_back(lost, sent))
+        if (gate.must_wait(lost, sent))
         {
             co_return store_failure{store_fault::unreachable, 0};
         }
--- a/tests/property/send_account_property_test.cpp
+++ b/tests/property/attempt_history_property_test.cpp
@@ -1,7 +1,7 @@
 // Attempts of one call with any outcome of each, and streams resumed at another server.
 //
-// Index: 1 send_account, 2 stream_relay
-#include "policy/send_account.hpp"
+// Index: 1 attempt_history, 2 stream_relay
+#include "policy/attempt_history.hpp"
 #include "serving/stream_relay.hpp"
 
 #include <gtest/gtest.h>
@@ -12,37 +12,40 @@
 namespace
 {
 
-// 1. send_account
+// 1. attempt_history
 
-exchange_fate any_fate()
+attempt_outcome any_fate()
 {
-    return *rc::gen::element(exchange_fate::answered, exchange_fate::not_sent,
-                             exchange_fate::not_run, exchange_fate::unknown);
+    return *rc::gen::element(attempt_outcome::answered, attempt_outcome::not_sent,
+                             attempt_outcome::not_run, attempt_outcome::unknown);
 }
 
-RC_GTEST_PROP(send_account, a_non_repeatable_call_never_runs_twice, ())
+RC_GTEST_PROP(attempt_history, a_non_repeatable_call_never_runs_twice, ())
 {
-    send_terms const terms{.repeatable = false, .max_servers = *rc::gen::inRange(1, 6)};
-    send_account     account;
-    int              ran = 0;
-    int              attempts = 0;
+    attempt_limits const terms{.repeatable = false,
+                               .max_servers = *rc::gen::inRange(1, 6)};
+    attempt_history      account;
+    int                  ran = 0;
+    int                  attempts = 0;
     while (account.allows(terms) && attempts < 100)
     {
         account.begin();
         auto const fate = any_fate();
         account.end(fate);
-        ran += fate == exchange_fate::unknown || fate == exchange_fate::answered ? 1 : 0;
+        ran +=
+            fate == attempt_outcome::unknown || fate == attempt_outcome::answered ? 1 : 0;
         ++attempts;
-        RC_ASSERT(account.maybe_run() == (ran > 0));
+        RC_ASSERT(account.may_have_run() == (ran > 0));
     }
     RC_ASSERT(ran <= 1);
 }
 
-RC_GTEST_PROP(send_account, attempts_are_bounded_however_they_fail, ())
+RC_GTEST_PROP(attempt_history, attempts_are_bounded_however_they_fail, ())
 {
-    send_terms const terms{.repeatable = true, .max_servers = *rc::gen::inRange(1, 6)};
-    send_account     account;
-    int              attempts = 0;
+    attempt_limits const terms{.repeatable = true,
+                               .max_servers = *rc::gen::inRange(1, 6)};
+    attempt_history      account;
+    int                  attempts = 0;
     while (account.allows(terms))
     {
         account.begin();
@@ -56,25 +59,25 @@
 
 // A response breaks off after its head: the attempt's outcome is recorded a second time,
 // but it must count as one attempt.
-TEST(send_account, an_interrupted_response_counts_once)
+TEST(attempt_history, an_interrupted_response_counts_once)
 {
-    send_account account;
+    attempt_history account;
     account.begin();
-    account.end(exchange_fate::answered);
-    account.end(exchange_fate::unknown);
+    account.end(attempt_outcome::answered);
+    account.end(attempt_outcome::unknown);
     EXPECT_EQ(account.runs(), 1);
     EXPECT_TRUE(account.allows({.repeatable = true, .max_servers = 2}));
     EXPECT_FALSE(account.allows({.repeatable = false, .max_servers = 2}));
 }
 
-TEST(send_account, failed_prefills_count_as_retries_but_not_as_runs)
+TEST(attempt_history, failed_prefills_count_as_retries_but_not_as_runs)
 {
-    send_account account;
+    attempt_history account;
     EXPECT_FALSE(account.is_retry());
-    account.read_failed();
+    account.prefill_failed();
     EXPECT_TRUE(account.is_retry());
-    EXPECT_FALSE(account.maybe_run());
-    account.read_failed();
+    EXPECT_FALSE(account.may_have_run());
+    account.prefill_failed();
     EXPECT_FALSE(account.allows({.repeatable = true, .max_servers = 9}));
 }
 
--- a/tests/property/load_relay_property_test.cpp
+++ b/tests/property/load_relay_property_test.cpp
@@ -54,7 +54,7 @@
             {
                 if (receiver.plan.digests.count(sender.contact.digests) > 0)
                 {
-                    receiver.relay.absorb(digest, now);
+                    receiver.relay.merge(digest, now);
                 }
             }
         }
--- a/tests/property/policy_property_test.cpp
+++ b/tests/property/policy_property_test.cpp
@@ -171,7 +171,7 @@
     auto const level = fair_level(demands, capacity);
     if (offered <= capacity)
     {
-        RC_ASSERT(level == no_level);
+        RC_ASSERT(level == unlimited_level);
         return;
     }
     std::int64_t given = 0;
--- a/tests/property/read_model_property_test.cpp
+++ b/tests/property/read_model_property_test.cpp
@@ -80,7 +80,7 @@
     RC_ASSERT(model.speed() >= bounds.min_speed * 0.999);
     RC_ASSERT(model.speed() <= bounds.max_speed * 1.001);
     RC_ASSERT(model.fixed_ms() >= 1 && model.fixed_ms() <= bounds.max_fixed_ms);
-    RC_ASSERT(model.handover_ms() >= 1 && model.handover_ms() <= bounds.max_handoff_ms);
+    RC_ASSERT(model.handoff_ms() >= 1 && model.handoff_ms() <= bounds.max_handoff_ms);
 }
 
 // 3. Changes
--- a/tests/property/request_values_property_test.cpp
+++ b/tests/property/request_values_property_test.cpp
@@ -156,11 +156,11 @@
     for (auto const& [content, seen] : truth)
     {
         auto const verdict =
-            seen.size() == 1 ? poison_verdict::suspect : poison_verdict::guilty;
-        RC_ASSERT(left.judge(content, now) == verdict);
-        RC_ASSERT(right.judge(content, now) == verdict);
-        RC_ASSERT(left.judge(content, now + millis{3'600'000}) ==
-                  poison_verdict::innocent);
+            seen.size() == 1 ? poison_verdict::suspect : poison_verdict::blocked;
+        RC_ASSERT(left.evaluate(content, now) == verdict);
+        RC_ASSERT(right.evaluate(content, now) == verdict);
+        RC_ASSERT(left.evaluate(content, now + millis{3'600'000}) ==
+                  poison_verdict::allowed);
     }
 }
 
--- a/tests/replay/load_policy_test.cpp
+++ b/tests/replay/load_policy_test.cpp
@@ -7,7 +7,7 @@
 #include "policy/placement.hpp"
 #include "policy/prefix_directory.hpp"
 #include "policy/role_split.hpp"
-#include "policy/wait_judgement.hpp"
+#include "policy/wait_limit.hpp"
 
 #include <gtest/gtest.h>
 
@@ -29,8 +29,8 @@
 engine_costs observed_costs()
 {
     constexpr double second_ms = 1000;
-    return {.read_speed = prefill_speed / second_ms,
-            .beside_speed = prefill_speed_at_decode / second_ms,
+    return {.prefill_rate = prefill_speed / second_ms,
+            .colocated_rate = prefill_speed_at_decode / second_ms,
             .observed = true};
 }
 
@@ -134,13 +134,14 @@
 
 /// Simulates long prompts that arrive faster than all prefill engines together can
 /// prefill them.
-surge_result simulate_prompt_surge(std::int64_t beside_streams, wait_options const& waits)
+surge_result simulate_prompt_surge(std::int64_t        max_colocated_tokens,
+                                   wait_options const& waits)
 {
     constexpr double step_s = 0.01;
     constexpr double duration_s = 10;
     constexpr double calls_per_s = 90;
     simulated_fleet  fleet(6, 9);
-    fleet.costs.beside_streams = beside_streams;
+    fleet.costs.max_colocated_tokens = max_colocated_tokens;
     std::mt19937_64 random(7);
     for (auto& load : fleet.loads)
     {
@@ -254,20 +255,22 @@
     pause_watch stalling;
     for (int stream = 0; stream < 200; ++stream)
     {
-        smooth.ended(20, millis{stream % 10 == 0 ? 170 : 90}, millis{300});
-        stalling.ended(20, millis{stream % 5 == 0 ? 255 : 90}, millis{250});
+        smooth.stream_ended(20, millis{stream % 10 == 0 ? 170 : 90}, millis{300});
+        stalling.stream_ended(20, millis{stream % 5 == 0 ? 255 : 90}, millis{250});
     }
-    EXPECT_EQ(smooth.beside_streams(true), pause_watch_options{}.most);
-    EXPECT_EQ(stalling.beside_streams(true), pause_watch_options{}.least);
-    auto const stalling_result = simulate_prompt_surge(stalling.beside_streams(true), {});
-    auto const smooth_result = simulate_prompt_surge(smooth.beside_streams(true), {});
+    EXPECT_EQ(smooth.max_colocated_tokens(true), pause_watch_options{}.most);
+    EXPECT_EQ(stalling.max_colocated_tokens(true), pause_watch_options{}.least);
+    auto const stalling_result =
+        simulate_prompt_surge(stalling.max_colocated_tokens(true), {});
+    auto const smooth_result =
+        simulate_prompt_surge(smooth.max_colocated_tokens(true), {});
     EXPECT_LT(smooth_result.mean_wait_s, stalling_result.mean_wait_s / 2);
     EXPECT_LT(smooth_result.refused, stalling_result.refused / 2);
 }
 
 /// The highest number of calls placed at one engine when many VMs decide by the same
 /// stale loads, in which one engine was idle and the others had some work.
-std::size_t max_calls_at_one_engine(double unheard_ms, std::int64_t choices)
+std::size_t max_calls_at_one_engine(double unreported_ms, std::int64_t sampled_engines)
 {
     constexpr int   calls = 90;
     simulated_fleet fleet(30, 60);
@@ -276,8 +279,8 @@
         load.unread = 4000;
     }
     fleet.loads[7].unread = 0;
-    fleet.costs.unheard_ms = unheard_ms;
-    fleet.costs.choices = choices;
+    fleet.costs.unreported_ms = unreported_ms;
+    fleet.costs.sampled_engines = sampled_engines;
     std::mt19937_64                    random(11);
     std::map<std::string, std::size_t> calls_by_engine;
     std::size_t                        busiest = 0;
@@ -312,7 +315,7 @@
         load.unread = 500'000;
     }
     auto const placed = fleet.place(long_prompt(1), 1);
-    EXPECT_GE(placed->wait_ms, 500'000 / fleet.costs.read_speed);
+    EXPECT_GE(placed->wait_ms, 500'000 / fleet.costs.prefill_rate);
     EXPECT_TRUE(retry_after_if_late({*placed, true, millis{400}, millis{2500}}, {}));
     fleet.loads[1].unread = 0;
     auto const idle = fleet.place(long_prompt(1), 1);
@@ -327,7 +330,8 @@
 TEST(load_policy, short_prompts_are_handed_off_while_decode_engines_prefill)
 {
     simulated_fleet fleet(4, 2);
-    fleet.costs.beside_streams = pause_watch_options{}.least; // pauses near the bound
+    fleet.costs.max_colocated_tokens =
+        pause_watch_options{}.least; // pauses near the bound
     auto const short_prompt = caller_call{.id = "c", .prompt = {{"t", 198}, {"o", 628}}};
     auto const idle = fleet.place(short_prompt, 1);
     EXPECT_FALSE(idle->prefill_only);
@@ -346,10 +350,10 @@
     auto            candidates = fleet.candidates();
     for (auto& each : candidates)
     {
-        each.suspect = true;
+        each.avoided = true;
     }
     EXPECT_TRUE(place_model(candidates, long_prompt(1), {}, "here", 1, {}));
-    candidates[1].suspect = false;
+    candidates[1].avoided = false;
     EXPECT_EQ(place_plain(candidates, "here", 0), candidates[1].server);
 }
 
@@ -373,13 +377,13 @@
 
 TEST(load_policy, retry_after_is_when_the_queue_will_be_short)
 {
-    placement const placed{.unread = 6000, .wait_ms = 4000, .read_ms = 110};
+    placement const placed{.unread = 6000, .wait_ms = 4000, .prefill_ms = 110};
     auto const      retry_after =
         retry_after_if_late({placed, true, millis{800}, millis{8000}}, {});
     ASSERT_TRUE(retry_after);
-    EXPECT_EQ(*retry_after, wait_options{}.latest);
+    EXPECT_EQ(*retry_after, wait_options{}.max_retry_after);
     EXPECT_FALSE(retry_after_if_late({placed, false, millis{800}, millis{8000}}, {}));
-    placement const no_queue{.unread = 500'000, .read_ms = 9000};
+    placement const no_queue{.unread = 500'000, .prefill_ms = 9000};
     EXPECT_FALSE(retry_after_if_late({no_queue, true, millis{800}, millis{8000}}, {}));
 }
 
--- a/tests/unit/crash_watch_test.cpp
+++ b/tests/unit/crash_watch_test.cpp
@@ -14,7 +14,7 @@
     return boot_clock::time_point{std::chrono::hours{1} + millis{ms}};
 }
 
-crash_news crash(std::string const& server, std::string const& call)
+crash_update crash(std::string const& server, std::string const& call)
 {
     return {.content = "c", .server = server, .call_id = call};
 }
@@ -22,9 +22,9 @@
 /// Delivers all updates that `from` publishes to `to`.
 void deliver(crash_watch& from, crash_watch& to, int ms)
 {
-    for (auto const& each : from.news(at(ms)))
+    for (auto const& each : from.updates(at(ms)))
     {
-        to.absorb(each, at(ms));
+        to.merge(each, at(ms));
     }
 }
 
@@ -32,14 +32,15 @@
 {
     crash_watch one;
     crash_watch other;
-    EXPECT_TRUE(one.crashed(crash("s1", "1"), at(0)));
+    EXPECT_TRUE(one.record_crash(crash("s1", "1"), at(0)));
     deliver(one, other, 150);
-    EXPECT_FALSE(other.guilty("c", at(150)));
-    EXPECT_TRUE(other.crashed(crash("s1", "2"), at(1000))); // restarted under the same id
+    EXPECT_FALSE(other.blocked("c", at(150)));
+    EXPECT_TRUE(
+        other.record_crash(crash("s1", "2"), at(1000))); // restarted under the same id
     deliver(other, one, 1150);
-    EXPECT_TRUE(one.guilty("c", at(1150)));
-    EXPECT_TRUE(other.guilty("c", at(1150)));
-    EXPECT_FALSE(one.guilty("c", at(62'000)));
+    EXPECT_TRUE(one.blocked("c", at(1150)));
+    EXPECT_TRUE(other.blocked("c", at(1150)));
+    EXPECT_FALSE(one.blocked("c", at(62'000)));
 }
 
 // Two callers send the same request when its server crashes for another reason, and both
@@ -49,15 +50,15 @@
 {
     crash_watch one;
     crash_watch other;
-    one.crashed(crash("s1", "1"), at(0));
-    EXPECT_FALSE(one.crashed(crash("s1", "2"), at(3)));
-    other.crashed(crash("s1", "3"), at(5));
+    one.record_crash(crash("s1", "1"), at(0));
+    EXPECT_FALSE(one.record_crash(crash("s1", "2"), at(3)));
+    other.record_crash(crash("s1", "3"), at(5));
     for (int ms = 150; ms < 3000; ms += 150)
     {
         deliver(one, other, ms);
         deliver(other, one, ms);
-        EXPECT_FALSE(one.guilty("c", at(ms)));
-        EXPECT_FALSE(other.guilty("c", at(ms)));
+        EXPECT_FALSE(one.blocked("c", at(ms)));
+        EXPECT_FALSE(other.blocked("c", at(ms)));
     }
 }
 
@@ -72,7 +73,7 @@
     {
         auto const begin = round * 5000;
         auto const call = std::to_string(round);
-        EXPECT_TRUE(one.crashed(crash("s1", call), at(begin)));
+        EXPECT_TRUE(one.record_crash(crash("s1", call), at(begin)));
         deliver(one, other, begin + 150);
         one.answered("c", at(begin + 200));
         for (int ms = begin + 300; ms < begin + 3000; ms += 150)
@@ -80,8 +81,8 @@
             deliver(one, other, ms);
             deliver(other, one, ms);
         }
-        EXPECT_FALSE(one.guilty("c", at(begin + 3000)));
-        EXPECT_FALSE(other.guilty("c", at(begin + 3000)));
+        EXPECT_FALSE(one.blocked("c", at(begin + 3000)));
+        EXPECT_FALSE(other.blocked("c", at(begin + 3000)));
     }
 }
 
@@ -90,10 +91,10 @@
     crash_watch watch;
     for (int call = 0; call < 500; ++call)
     {
-        watch.crashed({std::to_string(call), "s", std::to_string(call)}, at(0));
+        watch.record_crash({std::to_string(call), "s", std::to_string(call)}, at(0));
     }
-    EXPECT_EQ(watch.news(at(1)).size(), 64U);
-    EXPECT_TRUE(watch.news(at(4000)).empty());
+    EXPECT_EQ(watch.updates(at(1)).size(), 64U);
+    EXPECT_TRUE(watch.updates(at(4000)).empty());
 }
 
 } // namespace
--- a/tests/unit/mass_loss_test.cpp
+++ b/tests/unit/mass_loss_test.cpp
@@ -51,13 +51,13 @@
 {
     poison_list list({});
     list.note("poison", "crash-1", at(0));
-    EXPECT_EQ(list.judge("poison", at(1)), poison_verdict::suspect);
+    EXPECT_EQ(list.evaluate("poison", at(1)), poison_verdict::suspect);
     list.excuse("poison");
-    EXPECT_EQ(list.judge("poison", at(1)), poison_verdict::innocent);
+    EXPECT_EQ(list.evaluate("poison", at(1)), poison_verdict::allowed);
     list.note("poison", "crash-2", at(2));
-    EXPECT_EQ(list.judge("poison", at(3)), poison_verdict::guilty);
-    list.ran_whole("poison", false);
-    EXPECT_EQ(list.judge("poison", at(3)), poison_verdict::guilty);
+    EXPECT_EQ(list.evaluate("poison", at(3)), poison_verdict::blocked);
+    list.record_completion("poison", false);
+    EXPECT_EQ(list.evaluate("poison", at(3)), poison_verdict::blocked);
 }
 
 } // namespace
--- a/tests/unit/prefix_directory_test.cpp
+++ b/tests/unit/prefix_directory_test.cpp
@@ -66,15 +66,15 @@
     prompt const     call{{"a", 100}, {"own", 10}};
     sender.sent("e", call, millis{0}, at(0));
     sender.sent("e", call, millis{0}, at(10));
-    auto const news = sender.take_news()[news_source::own];
+    auto const news = sender.take_news()[update_source::own];
     ASSERT_EQ(news.size(), 1U);
     EXPECT_EQ(news.front().parts.size(), 1U);
-    receiver.hear(news.front(), news_source::centre, at(100));
+    receiver.hear(news.front(), update_source::centre, at(100));
     EXPECT_EQ(receiver.kept(call, at(101)).at("e").ready, 0); // still in prefill
     EXPECT_EQ(receiver.kept(call, at(600)), only("e", 100));
     EXPECT_TRUE(sender.take_news().empty());
     sender.sent("e", call, millis{0}, at(5000));
-    EXPECT_EQ(sender.take_news()[news_source::own].size(), 1U);
+    EXPECT_EQ(sender.take_news()[update_source::own].size(), 1U);
 }
 
 // If two relays passed on updates that they receive from each other, the updates would
@@ -82,13 +82,14 @@
 TEST(prefix_directory, received_updates_are_published_once_and_by_source)
 {
     prefix_directory relay;
-    relay.hear({"e", {1, 2}}, news_source::centre, at(0));
-    relay.hear({"f", {3}}, news_source::others, at(0));
+    relay.hear({"e", {1, 2}}, update_source::centre, at(0));
+    relay.hear({"f", {3}}, update_source::others, at(0));
     auto const published = relay.take_news();
-    EXPECT_EQ(published.at(news_source::centre),
+    EXPECT_EQ(published.at(update_source::centre),
               (std::vector<prefix_news>{{"e", {1, 2}}}));
-    EXPECT_EQ(published.at(news_source::others), (std::vector<prefix_news>{{"f", {3}}}));
-    relay.hear({"e", {1, 2}}, news_source::others, at(150));
+    EXPECT_EQ(published.at(update_source::others),
+              (std::vector<prefix_news>{{"f", {3}}}));
+    relay.hear({"e", {1, 2}}, update_source::others, at(150));
     EXPECT_TRUE(relay.take_news().empty());
 }
 
--- a/tests/unit/retry_gate_test.cpp
+++ b/tests/unit/retry_gate_test.cpp
@@ -33,7 +33,7 @@
 // outage, although the relays alone notice its return soon enough.
 TEST(retry_gate, slow_retries_probe_an_outage_rarely_and_open_on_success)
 {
-    retry_gate             gate{patient_retries};
+    retry_gate             gate{slow_retries};
     boot_clock::time_point now{std::chrono::hours{1}};
     int                    calls = 0;
     for (int poll = 0; poll < 80; ++poll)
@@ -54,7 +54,7 @@
 // since other VMs wait for the records that it appends.
 TEST(retry_gate, limit_shortens_a_grown_pause)
 {
-    retry_gate             gate{patient_retries};
+    retry_gate             gate{slow_retries};
     boot_clock::time_point now{std::chrono::hours{1}};
     for (int failure = 0; failure < 5; ++failure)
     {
@@ -86,8 +86,8 @@
     {
         gate.failed(now);
     }
-    EXPECT_FALSE(gate.holds_back(false, now));
-    EXPECT_TRUE(gate.holds_back(true, now));
+    EXPECT_FALSE(gate.must_wait(false, now));
+    EXPECT_TRUE(gate.must_wait(true, now));
 }
 
 } // namespace
--- a/tests/unit/server_health_news_test.cpp
+++ b/tests/unit/server_health_updates_test.cpp
@@ -23,11 +23,11 @@
 {
     server_health health;
     health.failed("e", true, at(0));
-    EXPECT_TRUE(health.suspect("e", at(1)));
-    auto const news = health.news(news_source::own, at(100));
-    ASSERT_EQ(news.count("e"), 1U);
-    EXPECT_EQ(news.at("e"), server_health_options{}.first_pause - millis{100});
-    EXPECT_TRUE(health.news(news_source::own, at(499)).empty());
+    EXPECT_TRUE(health.avoided("e", at(1)));
+    auto const updates = health.updates(update_source::own, at(100));
+    ASSERT_EQ(updates.count("e"), 1U);
+    EXPECT_EQ(updates.at("e"), server_health_options{}.first_pause - millis{100});
+    EXPECT_TRUE(health.updates(update_source::own, at(499)).empty());
 }
 
 // A full server has free slots again soon, and a single failed response says little. If
@@ -37,9 +37,9 @@
     server_health health;
     health.refused("full", at(0));
     health.failed("grey", false, at(0));
-    EXPECT_TRUE(health.news(news_source::others, at(1)).empty());
+    EXPECT_TRUE(health.updates(update_source::others, at(1)).empty());
     health.changed("other_role", at(0));
-    EXPECT_EQ(health.news(news_source::own, at(1)).count("other_role"), 1U);
+    EXPECT_EQ(health.updates(update_source::own, at(1)).count("other_role"), 1U);
 }
 
 // 2. Receiving
@@ -49,28 +49,28 @@
 TEST(server_health_news, updates_from_other_data_centres_are_not_sent_back)
 {
     server_health relay;
-    relay.hear("e", millis{400}, news_source::others, at(0));
-    EXPECT_TRUE(relay.suspect("e", at(1)));
-    EXPECT_TRUE(relay.news(news_source::own, at(1)).empty());
-    EXPECT_TRUE(relay.news(news_source::centre, at(1)).empty());
-    EXPECT_EQ(relay.news(news_source::others, at(1)).count("e"), 1U);
-    EXPECT_FALSE(relay.suspect("e", at(401)));
+    relay.hear("e", millis{400}, update_source::others, at(0));
+    EXPECT_TRUE(relay.avoided("e", at(1)));
+    EXPECT_TRUE(relay.updates(update_source::own, at(1)).empty());
+    EXPECT_TRUE(relay.updates(update_source::centre, at(1)).empty());
+    EXPECT_EQ(relay.updates(update_source::others, at(1)).count("e"), 1U);
+    EXPECT_FALSE(relay.avoided("e", at(401)));
 }
 
 TEST(server_health_news, an_own_success_overrides_received_updates)
 {
     server_health health;
-    health.hear("e", millis{4000}, news_source::centre, at(0));
+    health.hear("e", millis{4000}, update_source::centre, at(0));
     health.succeeded("e");
-    EXPECT_FALSE(health.suspect("e", at(1)));
+    EXPECT_FALSE(health.avoided("e", at(1)));
 }
 
 TEST(server_health_news, received_pauses_are_capped_at_the_longest_pause)
 {
     server_health health;
-    health.hear("e", std::chrono::hours{5}, news_source::centre, at(0));
-    EXPECT_TRUE(health.suspect("e", at(3999)));
-    EXPECT_FALSE(health.suspect("e", at(4001)));
+    health.hear("e", std::chrono::hours{5}, update_source::centre, at(0));
+    EXPECT_TRUE(health.avoided("e", at(3999)));
+    EXPECT_FALSE(health.avoided("e", at(4001)));
 }
 
 } // namespace
--- a/tests/unit/target_judgement_test.cpp
+++ b/tests/unit/target_evaluation_test.cpp
@@ -1,6 +1,6 @@
 // Evaluation of latency targets, and the report page.
 #include "app/report_page.hpp"
-#include "policy/target_judgement.hpp"
+#include "policy/target_evaluation.hpp"
 
 #include <gtest/gtest.h>
 
@@ -30,11 +30,11 @@
 {
     std::vector<target_sample> samples{sample("a", 400, 75), sample("b", 10, 10),
                                        sample("c", 10, 10), sample("d", 401, 10)};
-    auto const                 held = judge_target(rule(), samples, now_ms);
+    auto const                 held = evaluate_target(rule(), samples, now_ms);
     EXPECT_EQ(held.state, target_state::held);
     EXPECT_EQ(held.missed_ids, std::vector<std::string>{"d"});
     samples.push_back(sample("e", 10, 76));
-    EXPECT_EQ(judge_target(rule(), samples, now_ms).state, target_state::missed);
+    EXPECT_EQ(evaluate_target(rule(), samples, now_ms).state, target_state::missed);
 }
 
 TEST(service_targets, count_system_failures_but_not_caller_errors)
@@ -48,10 +48,10 @@
     auto old = sample("d", 900, 0);
     old.at_ms = now_ms - 100'000;
     std::vector<target_sample> const samples{overloaded, limited, other, old};
-    auto const                       verdict = judge_target(rule(), samples, now_ms);
+    auto const                       verdict = evaluate_target(rule(), samples, now_ms);
     EXPECT_EQ(verdict.calls, 1);
     EXPECT_EQ(verdict.state, target_state::missed);
-    EXPECT_EQ(judge_target(rule(), {}, now_ms).state, target_state::no_evidence);
+    EXPECT_EQ(evaluate_target(rule(), {}, now_ms).state, target_state::no_evidence);
 }
 
 TEST(report_page, shows_each_cause_and_rejects_an_invalid_series)
