--- a/bench/model/fleet_model.cpp
+++ b/bench/model/fleet_model.cpp
@@ -86,9 +86,9 @@
     {
         auto& server = servers[index];
         if (server.state == server_state::up &&
-            plan.wishes[index].role != server.engine.role)
+            plan.assignments[index].role != server.engine.role)
         {
-            server.wanted_role = plan.wishes[index].role;
+            server.wanted_role = plan.assignments[index].role;
             server.state = server_state::role_drain;
             ++role_changes;
         }
@@ -109,12 +109,12 @@
         auto& most = input.most[server.place.zone];
         if (server.state != server_state::gone)
         {
-            ++(server.place.cheap ? most.cheap : most.dear);
+            ++(server.place.cheap ? most.cheap : most.full_price);
         }
         if (stays(server.state))
         {
             auto& have = input.have[server.place.zone];
-            ++(server.place.cheap ? have.cheap : have.dear);
+            ++(server.place.cheap ? have.cheap : have.full_price);
         }
     }
     return input;
@@ -169,7 +169,7 @@
 {
     for (std::uint32_t zone = 0; zone < zones_; ++zone)
     {
-        order_class(zone, false, plan.wanted[zone].dear, now_us);
+        order_class(zone, false, plan.wanted[zone].full_price, now_us);
         order_class(zone, true, plan.wanted[zone].cheap, now_us);
     }
     settle(now_us);
--- a/bench/model/quota_replay.cpp
+++ b/bench/model/quota_replay.cpp
@@ -3,8 +3,8 @@
 // Index: 1 calls, 2 audit, 3 homes
 #include "quota_replay.hpp"
 
-#include "policy/quota_course.hpp"
-#include "policy/quota_home.hpp"
+#include "policy/quota_owner.hpp"
+#include "policy/quota_queries.hpp"
 
 #include <map>
 
@@ -146,7 +146,7 @@
 public:
     played_homes(quota_load const& load, quota_trouble const& trouble, std::uint64_t seed)
         : load_(load), trouble_(trouble), random_(seed),
-          homes_(home_count, quota_home{replayed_terms}), share_(home_count),
+          homes_(home_count, quota_owner{replayed_terms}), share_(home_count),
           silent_(static_cast<std::size_t>(trouble.vms)), cut_home_(seed % 2 == 0)
     {
         note_shares(millis{0});
@@ -157,25 +157,26 @@
     {
         restart_if_due(call.at);
         note_shares(call.at);
-        quota_course course{order(call.vm, call.at)};
-        bool         granted = false;
-        while (!course.address().empty())
+        quota_queries queries{order(call.vm, call.at)};
+        bool          granted = false;
+        while (!queries.address().empty())
         {
-            int const  home = std::stoi(course.address());
-            auto const answer = ask(call, home, course.left(), wait_ms);
+            int const  home = std::stoi(queries.address());
+            auto const answer = ask(call, home, queries.left(), wait_ms);
             if (!answer)
             {
                 silent_[slot(call.vm)][home] = call.at + silent_pause;
-                course.take(quota_reply::silent);
+                queries.take(quota_reply::silent);
                 continue;
             }
             silent_[slot(call.vm)].erase(home);
             granted = answer->outcome == quota_outcome::granted;
-            course.take(answer->outcome == quota_outcome::declined ? quota_reply::declined
-                                                                   : quota_reply::decided,
-                        answer->home);
+            queries.take(answer->outcome == quota_outcome::declined
+                             ? quota_reply::declined
+                             : quota_reply::decided,
+                         answer->home);
         }
-        return course.decided() ? granted : admit_alone(call);
+        return queries.decided() ? granted : admit_alone(call);
     }
 
     double messages = 0;
@@ -249,15 +250,16 @@
                                          view(home, call.at), time_of(call.at));
     }
 
-    home_view view(int home, millis at) const
+    owner_view view(int home, millis at) const
     {
-        home_view result{.listed = true, .stops = false, .ahead = {}, .share = 1};
+        owner_view result{
+            .listed = true, .stopping = false, .predecessor = {}, .share = 1};
         result.share = share_[slot(home)].value();
-        for (int other = 0; other < home && result.ahead.empty(); ++other)
+        for (int other = 0; other < home && result.predecessor.empty(); ++other)
         {
             if (hears(home, other, at - digest_life))
             {
-                result.ahead = std::to_string(other);
+                result.predecessor = std::to_string(other);
             }
         }
         return result;
@@ -286,7 +288,8 @@
     /// Nobody who keeps the bucket can be asked: this VM's even share of the rate.
     bool admit_alone(played_call const& call)
     {
-        auto const bounds = bounds_alone(load_.quota, replayed_terms, 1.0 / trouble_.vms);
+        auto const bounds =
+            isolated_bounds(load_.quota, replayed_terms, 1.0 / trouble_.vms);
         auto const now = time_of(call.at);
         auto const own = alone_.try_emplace(call.vm, bounds, now).first;
         return !own->second.take(call.units, now);
@@ -298,14 +301,14 @@
             at >= trouble_.restart + power_off)
         {
             restarted_ = true;
-            homes_.assign(home_count, quota_home{replayed_terms});
+            homes_.assign(home_count, quota_owner{replayed_terms});
         }
     }
 
     quota_load                         load_;
     quota_trouble                      trouble_;
     std::mt19937_64                    random_;
-    std::vector<quota_home>            homes_;
+    std::vector<quota_owner>           homes_;
     std::vector<fleet_share>           share_;
     std::vector<std::map<int, millis>> silent_; // by VM and home: until then
     std::map<int, quota_bucket>        alone_;
--- a/bench/model/replay.hpp
+++ b/bench/model/replay.hpp
@@ -66,7 +66,7 @@
     std::int64_t              offered = 0;
     std::int64_t              good = 0;
     std::int64_t              refused = 0;
-    std::int64_t              dear = 0;
+    std::int64_t              full_price = 0;
     std::int64_t              cheap = 0;
     std::int64_t              prefill_uses = 0;
     std::int64_t              role_changes = 0;
--- a/bench/model/replay_engines.cpp
+++ b/bench/model/replay_engines.cpp
@@ -20,7 +20,7 @@
     average += (rate - average) * control_milli / std::max(window_ms, control_milli);
 }
 
-std::int64_t need_of(role_demand const& demand, engine_costs const& costs)
+std::int64_t compute_role_need(role_demand const& demand, engine_costs const& costs)
 {
     auto const token_us = costs.step_us / costs.batch + costs.stream_us;
     auto const work_us = (demand.long_tokens + demand.short_tokens) * costs.prefill_us +
@@ -218,12 +218,12 @@
         bucket(now_us_).role_changes += fleet_.role_changes - before;
     }
     prefill_uses_ = 0;
-    for (std::uint32_t engine = 0; engine < plan.wishes.size(); ++engine)
+    for (std::uint32_t engine = 0; engine < plan.assignments.size(); ++engine)
     {
-        prefill_uses_ += plan.wishes[engine].use == engine_use::prefill;
+        prefill_uses_ += plan.assignments[engine].use == engine_use::prefill;
         for (auto& entry : entries_)
         {
-            entry.views[engine].use = plan.wishes[engine].use;
+            entry.views[engine].use = plan.assignments[engine].use;
         }
     }
 }
@@ -280,7 +280,7 @@
     smooth(demand_.long_chunks, arrived_.long_chunks, window);
     smooth(demand_.output_tokens, arrived_.output_tokens, window);
     arrived_ = {};
-    need_milli_ = need_of(demand_, options_.costs);
+    need_milli_ = compute_role_need(demand_, options_.costs);
     fleet_.pay(now_us_ - controlled_us_, result_);
     controlled_us_ = now_us_;
     fleet_.settle(now_us_);
@@ -302,13 +302,13 @@
     auto& now = bucket(now_us_);
     now.need_milli = need_milli_;
     now.prefill_uses = prefill_uses_;
-    now.dear = 0;
+    now.full_price = 0;
     now.cheap = 0;
     for (auto const& server : fleet_.servers)
     {
         bool const paid =
             server.state != server_state::off && server.state != server_state::gone;
-        now.dear += paid && !server.place.cheap;
+        now.full_price += paid && !server.place.cheap;
         now.cheap += paid && server.place.cheap;
     }
 }
--- a/bench/model/replay_table.cpp
+++ b/bench/model/replay_table.cpp
@@ -184,8 +184,8 @@
         out << second << " " << fixed(each.offered * milli / bucket_s) << " "
             << fixed(each.good * milli / bucket_s) << " "
             << fixed(each.refused * milli / bucket_s) << " " << fixed(worst) << " "
-            << each.dear << " " << each.cheap << " " << fixed(each.need_milli) << " "
-            << each.prefill_uses << " " << each.role_changes << "\n";
+            << each.full_price << " " << each.cheap << " " << fixed(each.need_milli)
+            << " " << each.prefill_uses << " " << each.role_changes << "\n";
         second += bucket_s;
     }
     return out.str();
--- a/bench/sweep.cpp
+++ b/bench/sweep.cpp
@@ -65,7 +65,7 @@
              {0, 20, 40, 60, 100, 150, 250},
              [](auto& options, auto value)
              {
-                 options.admission.hold_ms = value;
+                 options.admission.max_queue_ms = value;
              }},
             {"admission.bound_percent",
              {60, 70, 80, 85, 90, 95, 105},
--- a/src/app/engine_controller.hpp
+++ b/src/app/engine_controller.hpp
@@ -91,16 +91,16 @@
 
     void settle(held_lease const& held, tracked_order const& tracked)
     {
-        auto const   place = std::find_if(listed_.begin(), listed_.end(),
-                                          [&](backend_server const& server)
-                                          { return server.id == tracked.wanted.server; });
-        engine_truth truth{.listed = place != listed_.end() && !place->leaving};
-        if (truth.listed)
+        auto const      place = std::find_if(listed_.begin(), listed_.end(),
+                                             [&](backend_server const& server)
+                                             { return server.id == tracked.wanted.server; });
+        observed_engine observed{.listed = place != listed_.end() && !place->leaving};
+        if (observed.listed)
         {
-            truth.state = state_of(*place);
-            truth.idle = drain_.idle(*place, tracked.seen_at);
+            observed.state = state_of(*place);
+            observed.idle = drain_.idle(*place, tracked.seen_at);
         }
-        auto step = settle_role(tracked.wanted, tracked.progress, truth);
+        auto step = settle_role(tracked.wanted, tracked.progress, observed);
         // Giving way must not wait for the engine to be idle: the last server of a group
         // serves on until the order for it is closed.
         bool const unsent = tracked.progress.sending == order_sending::not_sent;
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -33,7 +33,7 @@
         decision.verdict = admission_verdict::dispatch;
         return decision;
     }
-    if (input.servable && input.waited_us < options.hold_ms * micros_per_milli)
+    if (input.servable && input.waited_us < options.max_queue_ms * micros_per_milli)
     {
         decision.verdict = admission_verdict::hold;
         return decision;
--- a/src/policy/fleet_plan.cpp
+++ b/src/policy/fleet_plan.cpp
@@ -195,11 +195,11 @@
     }
 }
 
-void fleet_state::want(std::int64_t servers, boot_clock::time_point now)
+void fleet_state::record_demand(std::int64_t servers, boot_clock::time_point now)
 {
-    if (known_since == boot_clock::time_point{} && servers > 0)
+    if (demand_known_since == boot_clock::time_point{} && servers > 0)
     {
-        known_since = now;
+        demand_known_since = now;
     }
     if (servers >= wanted || now - wanted_updated_at >= demand_window)
     {
@@ -210,7 +210,8 @@
 
 bool fleet_state::settled(boot_clock::time_point now) const
 {
-    return known_since != boot_clock::time_point{} && now - known_since >= demand_window;
+    return demand_known_since != boot_clock::time_point{} &&
+           now - demand_known_since >= demand_window;
 }
 
 std::int64_t servers_for(role_need const& need)
--- a/src/policy/fleet_plan.hpp
+++ b/src/policy/fleet_plan.hpp
@@ -78,7 +78,7 @@
     std::map<std::string, data_centre_state> centres;
     std::int64_t                             wanted = 0; // servers that carry the demand
     boot_clock::time_point                   wanted_updated_at{};
-    boot_clock::time_point known_since{}; // first demand; epoch: no demand yet
+    boot_clock::time_point demand_known_since{}; // first demand; epoch: no demand yet
 
     bool operator==(fleet_state const&) const = default;
 
@@ -88,7 +88,7 @@
     /// Records how many servers the current demand needs. `wanted` rises at once and
     /// falls only after several seconds without a higher value, because a server that is
     /// dismissed between two bursts is missing in the second one.
-    void want(std::int64_t servers, boot_clock::time_point now);
+    void record_demand(std::int64_t servers, boot_clock::time_point now);
 
     /// True once demand has been observed for long enough to dismiss servers based on it.
     bool settled(boot_clock::time_point now) const;
--- a/src/policy/fleet_share.hpp
+++ b/src/policy/fleet_share.hpp
@@ -63,7 +63,7 @@
     }
 
     /// The share of one VM, for a VM that can reach no other.
-    double alone() const
+    double single_vm_share() const
     {
         return 1.0 / static_cast<double>(vms());
     }
--- a/src/policy/order_settlement.cpp
+++ b/src/policy/order_settlement.cpp
@@ -65,7 +65,7 @@
 } // namespace
 
 order_step settle_role(order const& wanted, order_progress const& progress,
-                       engine_truth const& observed)
+                       observed_engine const& observed)
 {
     if (!observed.listed)
     {
--- a/src/policy/order_settlement.hpp
+++ b/src/policy/order_settlement.hpp
@@ -41,18 +41,18 @@
 };
 
 /// Observed state of an engine that has an open order for a change of role.
-struct engine_truth
+struct observed_engine
 {
     bool                        listed = true; // in the platform's list
     std::optional<engine_state> state;         // none: it does not respond
     bool                        idle = false; // drained since the order's intent was read
 
-    bool operator==(engine_truth const&) const = default;
+    bool operator==(observed_engine const&) const = default;
 };
 
 /// The next step of an order that changes an engine's role.
 order_step settle_role(order const& wanted, order_progress const& progress,
-                       engine_truth const& observed);
+                       observed_engine const& observed);
 
 /// The next step of a purchase or dismissal. `listed` is the platform's list, which lags,
 /// or none if it could not be read. `idle` is for a dismissal: the server has been
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -132,7 +132,7 @@
                 has_prefill_engine_ || (is_prefill_engine(each) && !each.avoided);
             prefill_engines_ += is_prefill_engine(each) && !each.avoided ? 1 : 0;
             decode_engines_ += !is_prefill_engine(each) && !each.avoided ? 1 : 0;
-            cached_anywhere_ = cached_anywhere_ || each.kept > 0;
+            cached_anywhere_ = cached_anywhere_ || each.cached > 0;
             bool const better = best_cache_ == nullptr || each.ready > best_cache_->ready;
             if (!each.avoided && each.ready > 0 && better)
             {
@@ -152,13 +152,13 @@
     {
         placement  result{.server = each.server,
                           .prefill_only = is_prefill_engine(each),
-                          .unread = own_tokens_ + shared_tokens_ - each.kept,
+                          .unread = own_tokens_ + shared_tokens_ - each.cached,
                           .wait_ms = queue_time(each)};
         auto const prefill_own = prefill_time(each, own_tokens_);
-        auto const prefill_rest = prefill_time(each, shared_tokens_ - each.kept);
+        auto const prefill_rest = prefill_time(each, shared_tokens_ - each.cached);
         auto const fetched = fetchable(each);
         auto const fetch = fetch_time(each, fetched) +
-                           prefill_time(each, shared_tokens_ - each.kept - fetched);
+                           prefill_time(each, shared_tokens_ - each.cached - fetched);
         result.prefill_ms = fixed_time(each) + prefill_own + prefill_rest;
         if (fetched > 0 && fetch < prefill_rest)
         {
@@ -212,7 +212,7 @@
         bool const few = costs_.sampled_engines <= 0 || role <= costs_.sampled_engines;
         bool const home =
             each.server == prefill_rendezvous_ || each.server == decode_rendezvous_;
-        return few || home || each.kept > 0 ||
+        return few || home || each.cached > 0 ||
                hash_fraction(~tie_break_, each.server->id) * static_cast<double>(role) <
                    static_cast<double>(costs_.sampled_engines);
     }
@@ -242,7 +242,7 @@
     {
         bool const other =
             options_.fetch && best_cache_ != nullptr && &each != best_cache_;
-        auto const tokens = other ? best_cache_->ready - each.kept : 0;
+        auto const tokens = other ? best_cache_->ready - each.cached : 0;
         return tokens >= options_.min_fetch_tokens ? tokens : 0;
     }
 
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -87,8 +87,8 @@
     backend_server const* server = nullptr;
     server_load           load;
     bool                  avoided = false; // avoided after failures; last choice
-    std::int64_t          kept = 0;  // tokens of shared parts cached or being computed
-    std::int64_t          ready = 0; // of these, already computed
+    std::int64_t          cached = 0; // tokens of shared parts cached or being computed
+    std::int64_t          ready = 0;  // of these, already computed
 };
 
 /// The first server of a model call and the predicted times there.
--- a/src/policy/policy_options.hpp
+++ b/src/policy/policy_options.hpp
@@ -34,8 +34,9 @@
     std::int64_t failure_us = 200'000;      // 200000 cost of each consecutive failure, us
     std::int64_t prefix_percent = 100;      // 100    weight of expected prefix hits, %
     std::int64_t slow_percent = 250; // 250    of the group's median: slow engine, %
-    std::int64_t turn_us = 40'000;   // 40000  until a full batch frees a slot, us
-    std::int64_t spread_us = 5'000;  // 5000   per rank in this entry VM's order, us
+    std::int64_t full_batch_wait_us =
+        40'000;                     // 40000  until a full batch frees a slot, us
+    std::int64_t spread_us = 5'000; // 5000   per rank in this entry VM's order, us
     std::int64_t interference_percent = 10; // 10     of the prefill time, per stream, %
     std::int64_t short_prompt_tokens = 600; // 600    fits a step that decodes, tokens
 
@@ -45,7 +46,7 @@
 /// Options of admission and fairness.
 struct admission_options
 {
-    std::int64_t hold_ms = 20;        // 20     longest stay in the queue, ms
+    std::int64_t max_queue_ms = 20;   // 20     longest stay in the queue, ms
     std::int64_t bound_percent = 85;  // 85     of the latency target, for admission, %
     std::int64_t excess_percent = 50; // 50     same, workspace above its share, %
     std::int64_t fill_percent = 120;  // 120    of the batches that streams may fill, %
--- a/src/policy/read_model.hpp
+++ b/src/policy/prefill_model.hpp
@@ -6,8 +6,8 @@
 // in the fixed time before the first token. The model estimates a time per token and a
 // fixed time separately, so that short prompts don't make an engine look slow. Samples
 // that waited in a queue don't count.
-#ifndef MARIGOLDCRANK_POLICY_READ_MODEL_HPP
-#define MARIGOLDCRANK_POLICY_READ_MODEL_HPP
+#ifndef MARIGOLDCRANK_POLICY_PREFILL_MODEL_HPP
+#define MARIGOLDCRANK_POLICY_PREFILL_MODEL_HPP
 
 #include "domain/boot_clock.hpp"
 
@@ -88,7 +88,7 @@
 
     /// Adjusts the handoff time by a call whose prompt another engine had prefilled; its
     /// first event came after `took`.
-    void handed_over(boot_clock::duration took)
+    void handoff_done(boot_clock::duration took)
     {
         bool const slower = milliseconds(took) > handoff_ms_;
         handoff_ms_ = adjust(handoff_ms_, slower, options_.fixed_step);
--- a/src/policy/prefix_directory.cpp
+++ b/src/policy/prefix_directory.cpp
@@ -50,7 +50,7 @@
     }
 }
 
-void prefix_directory::hear(prefix_news const& update, update_source source,
+void prefix_directory::hear(prefix_update const& update, update_source source,
                             boot_clock::time_point now)
 {
     for (auto const part : update.parts)
@@ -86,8 +86,8 @@
 }
 
 std::map<std::string, cached_tokens>
-prefix_directory::kept(std::vector<prompt_part> const& prompt,
-                       boot_clock::time_point          now) const
+prefix_directory::cached(std::vector<prompt_part> const& prompt,
+                         boot_clock::time_point          now) const
 {
     std::map<std::string, cached_tokens> result;
     std::int64_t                         before = 0;
@@ -106,10 +106,10 @@
                 index == 0 || (chain != result.end() && chain->second.all == before);
             if (complete && alive(entry, now))
             {
-                auto& kept = result[server];
-                kept.all = after;
-                kept.ready =
-                    kept.ready == before && entry.ready <= now ? after : kept.ready;
+                auto& cached = result[server];
+                cached.all = after;
+                cached.ready =
+                    cached.ready == before && entry.ready <= now ? after : cached.ready;
             }
         }
         before = after;
@@ -117,9 +117,9 @@
     return result;
 }
 
-prefix_news_by_source prefix_directory::take_news()
+prefix_updates_by_source prefix_directory::take_updates()
 {
-    prefix_news_by_source result;
+    prefix_updates_by_source result;
     for (auto& [source, engines] : unpublished_)
     {
         for (auto& [server, parts] : engines)
--- a/src/policy/prefix_directory.hpp
+++ b/src/policy/prefix_directory.hpp
@@ -1,6 +1,6 @@
 // Directory of the prompt parts that engines hold in their KV caches.
 //
-// Index: 1 prefix_news, 2 prefix_news_by_source, 3 cached_tokens,
+// Index: 1 prefix_update, 2 prefix_updates_by_source, 3 cached_tokens,
 //        4 prefix_directory_options, 5 prefix_directory
 //
 // Prompts share parts of thousands of tokens. The prefill of such a part takes an engine
@@ -28,16 +28,16 @@
 
 /// Parts whose prefill an engine has begun or which it has found in its cache. VMs
 /// publish these to each other.
-struct prefix_news
+struct prefix_update
 {
     std::string                server;
     std::vector<std::uint64_t> parts; // hashes of part ids
 
-    bool operator==(prefix_news const&) const = default;
+    bool operator==(prefix_update const&) const = default;
 };
 
 /// Updates by whose attempts they are about.
-using prefix_news_by_source = std::map<update_source, std::vector<prefix_news>>;
+using prefix_updates_by_source = std::map<update_source, std::vector<prefix_update>>;
 
 /// Tokens of one prompt in one engine's cache.
 struct cached_tokens
@@ -77,7 +77,7 @@
 
     /// Receives an update from another VM about its own attempts or, if it is a relay,
     /// about those that it received.
-    void hear(prefix_news const& update, update_source source,
+    void hear(prefix_update const& update, update_source source,
               boot_clock::time_point now);
 
     /// Drops all parts of an engine whose cache is empty after a restart or a change of
@@ -86,11 +86,11 @@
 
     /// Cached tokens of the prompt's shared parts by engine. A part counts only if the
     /// engine has cached all parts before it. Engines without any are left out.
-    std::map<std::string, cached_tokens> kept(std::vector<prompt_part> const& prompt,
-                                              boot_clock::time_point          now) const;
+    std::map<std::string, cached_tokens> cached(std::vector<prompt_part> const& prompt,
+                                                boot_clock::time_point now) const;
 
     /// Takes the updates since the last call. Only a relay passes on what it received.
-    prefix_news_by_source take_news();
+    prefix_updates_by_source take_updates();
 
     /// Drops parts that have not been used for too long.
     void expire(boot_clock::time_point now);
@@ -124,7 +124,7 @@
         return now - value.last_used <= options_.max_age;
     }
 
-    std::vector<prefix_news> take(pending_parts& from) const;
+    std::vector<prefix_update> take(pending_parts& from) const;
 
     prefix_directory_options                   options_;
     std::unordered_map<std::uint64_t, holders> parts_;
--- a/src/policy/quota_bucket.hpp
+++ b/src/policy/quota_bucket.hpp
@@ -80,8 +80,8 @@
 /// an owner's bucket starts with, so that hundreds of VMs without an owner don't each run
 /// a large call. They refill at half of their part, because one side of a network
 /// partition grants the whole until both sides have noticed it.
-inline quota_bounds bounds_alone(workspace_quota const& quota, quota_terms const& terms,
-                                 double share)
+inline quota_bounds isolated_bounds(workspace_quota const& quota,
+                                    quota_terms const& terms, double share)
 {
     constexpr double half = 0.5;
     auto             bounds = shared_bounds(quota, terms, share);
--- a/src/policy/quota_home.cpp
+++ b/src/policy/quota_owner.cpp
@@ -1,12 +1,12 @@
 // Order of owners and replies to quota queries.
-#include "policy/quota_home.hpp"
+#include "policy/quota_owner.hpp"
 
 #include <xxhash.h>
 
 namespace marigoldcrank
 {
 
-std::vector<std::string> order_homes(std::string const&       workspace,
+std::vector<std::string> rank_owners(std::string const&       workspace,
                                      std::vector<std::string> offered)
 {
     auto const seed = XXH3_64bits(workspace.data(), workspace.size());
@@ -20,16 +20,16 @@
     return offered;
 }
 
-quota_answer quota_home::answer(quota_ask const& ask, workspace_quota const& quota,
-                                home_view const& view, boot_clock::time_point now)
+quota_answer quota_owner::answer(quota_query const& ask, workspace_quota const& quota,
+                                 owner_view const& view, boot_clock::time_point now)
 {
-    if (view.stops || !view.listed)
+    if (view.stopping || !view.listed)
     {
         return {};
     }
-    if (!view.ahead.empty() && view.ahead != ask.left)
+    if (!view.predecessor.empty() && view.predecessor != ask.left)
     {
-        return {.outcome = quota_outcome::declined, .home = view.ahead};
+        return {.outcome = quota_outcome::declined, .home = view.predecessor};
     }
     auto const bounds = shared_bounds(quota, terms_, view.share);
     auto const bucket = buckets_.try_emplace(ask.workspace, bounds, now).first;
@@ -41,8 +41,8 @@
             .home = {}};
 }
 
-void quota_home::give_back(std::string const& workspace, std::int64_t units,
-                           boot_clock::time_point now)
+void quota_owner::give_back(std::string const& workspace, std::int64_t units,
+                            boot_clock::time_point now)
 {
     auto const bucket = buckets_.find(workspace);
     if (bucket != buckets_.end())
--- a/src/policy/quota_home.hpp
+++ b/src/policy/quota_owner.hpp
@@ -1,14 +1,14 @@
 // Chooses the VM that owns a workspace's quota, and computes the owner's replies.
 //
-// Index: 1 order_homes, 2 quota_ask, quota_answer, 3 quota_home
+// Index: 1 rank_owners, 2 quota_query, quota_answer, 3 quota_owner
 //
 // A workspace's calls arrive unevenly at hundreds of VMs, and one prompt may be larger
 // than a VM's even share of the quota. So one VM, the workspace's owner, keeps the whole
 // bucket, and the others query it before a call runs. A VM is the owner if it hears none
 // of the VMs before it in the workspace's order, so each side of a network partition has
 // one.
-#ifndef MARIGOLDCRANK_POLICY_QUOTA_HOME_HPP
-#define MARIGOLDCRANK_POLICY_QUOTA_HOME_HPP
+#ifndef MARIGOLDCRANK_POLICY_QUOTA_OWNER_HPP
+#define MARIGOLDCRANK_POLICY_QUOTA_OWNER_HPP
 
 #include "policy/quota_bucket.hpp"
 
@@ -23,17 +23,17 @@
 /// Sorts the VMs of `offered`, given by address, by preference as owner of a workspace's
 /// quota. Uses rendezvous hashing: VMs that know the same members compute the same order,
 /// and a VM that joins or leaves moves few workspaces.
-std::vector<std::string> order_homes(std::string const&       workspace,
+std::vector<std::string> rank_owners(std::string const&       workspace,
                                      std::vector<std::string> offered);
 
 /// Query for units of a quota.
-struct quota_ask
+struct quota_query
 {
     std::string  workspace;
     std::int64_t units = 0;
     std::string  left; // a VM that replied to the sender that it stops; empty: none
 
-    auto operator<=>(quota_ask const&) const = default;
+    auto operator<=>(quota_query const&) const = default;
 };
 
 /// Outcome of a query at the queried VM.
@@ -56,21 +56,21 @@
 };
 
 /// State of the queried VM that decides its reply.
-struct home_view
+struct owner_view
 {
-    bool        listed = false; // it may own quotas
-    bool        stops = false;  // it is shutting down
-    std::string ahead;          // first reachable VM before it in the order; empty: none
-    double      share = 1;      // 1  part of the fleet that it hears
+    bool        listed = false;   // it may own quotas
+    bool        stopping = false; // it is shutting down
+    std::string predecessor; // first reachable VM before it in the order; empty: none
+    double      share = 1;   // 1  part of the fleet that it hears
 
-    bool operator==(home_view const&) const = default;
+    bool operator==(owner_view const&) const = default;
 };
 
 /// The buckets that one VM owns. No I/O; the caller passes the time.
-class quota_home
+class quota_owner
 {
 public:
-    explicit quota_home(quota_terms terms = {}) : terms_(terms) {}
+    explicit quota_owner(quota_terms terms = {}) : terms_(terms) {}
 
     void terms(quota_terms terms)
     {
@@ -78,8 +78,8 @@
     }
 
     /// Replies to a query; `quota` is the workspace's quota as this VM knows it.
-    quota_answer answer(quota_ask const& ask, workspace_quota const& quota,
-                        home_view const& view, boot_clock::time_point now);
+    quota_answer answer(quota_query const& ask, workspace_quota const& quota,
+                        owner_view const& view, boot_clock::time_point now);
 
     /// Returns granted units of a call that did not run.
     void give_back(std::string const& workspace, std::int64_t units,
--- a/src/policy/quota_course.hpp
+++ b/src/policy/quota_queries.hpp
@@ -1,8 +1,8 @@
 // Sequence of VMs that one call queries for units of a quota.
 //
-// Index: 1 quota_reply, 2 quota_course
-#ifndef MARIGOLDCRANK_POLICY_QUOTA_COURSE_HPP
-#define MARIGOLDCRANK_POLICY_QUOTA_COURSE_HPP
+// Index: 1 quota_reply, 2 quota_queries
+#ifndef MARIGOLDCRANK_POLICY_QUOTA_QUERIES_HPP
+#define MARIGOLDCRANK_POLICY_QUOTA_QUERIES_HPP
 
 #include <algorithm>
 #include <cstddef>
@@ -24,12 +24,12 @@
 /// The queries of one call, in order. A lost packet must not make two VMs own the same
 /// quota, so an owner that didn't reply is queried once more if the next VM reports that
 /// it is alive.
-class quota_course
+class quota_queries
 {
 public:
     /// `candidates`: addresses of the reachable VMs that may own the quota, the owner
     /// first.
-    explicit quota_course(std::vector<std::string> candidates)
+    explicit quota_queries(std::vector<std::string> candidates)
         : candidates_(std::move(candidates)), current_address_(first_unqueried())
     {
     }
--- a/src/policy/relay_plan.cpp
+++ b/src/policy/relay_plan.cpp
@@ -84,10 +84,10 @@
     auto const own_relays = choose_best(centres[own.data_centre], options.relays);
     relay_plan plan;
     plan.mesh = all.size() <= options.mesh;
-    plan.answers =
+    plan.serves_records =
         std::find(own_relays.begin(), own_relays.end(), own) != own_relays.end();
     plan.leads = own_relays.front() == own;
-    plan.relay = !plan.mesh && plan.answers;
+    plan.relay = !plan.mesh && plan.serves_records;
     for (auto const& [name, members] : centres)
     {
         bool const in_own_centre = name == own.data_centre;
@@ -106,10 +106,10 @@
     {
         for (auto const& vm : choose_best(members, options.relays))
         {
-            plan.homes.push_back(vm.records);
+            plan.owners.push_back(vm.records);
         }
     }
-    std::erase(plan.homes, "");
+    std::erase(plan.owners, "");
     plan.digests.erase(own.digests);
     plan.digests.erase("");
     return plan;
--- a/src/policy/role_planner.cpp
+++ b/src/policy/role_planner.cpp
@@ -107,15 +107,15 @@
     {
         if (!engines[index].open || engines[index].changing)
         {
-            plan.wishes[index].use = memory_[index].use;
+            plan.assignments[index].use = memory_[index].use;
             continue;
         }
         bool const prefill = left > 0;
         left -= prefill ? 1 : 0;
-        plan.wishes[index].use = plan.prefill_engines == 0 ? engine_use::any
-                                 : prefill                 ? engine_use::prefill
-                                                           : engine_use::decode;
-        memory_[index].use = plan.wishes[index].use;
+        plan.assignments[index].use = plan.prefill_engines == 0 ? engine_use::any
+                                      : prefill                 ? engine_use::prefill
+                                                                : engine_use::decode;
+        memory_[index].use = plan.assignments[index].use;
     }
 }
 
@@ -141,7 +141,7 @@
     for (std::size_t index = 0; index < engines.size(); ++index)
     {
         auto&      memory = memory_[index];
-        auto&      wish = plan.wishes[index];
+        auto&      wish = plan.assignments[index];
         auto const role = engines[index].role;
         wish.role = role;
         if (!engines[index].open || engines[index].changing)
@@ -175,7 +175,7 @@
 role_plan wanted_roles(engine_role_plan const& plan)
 {
     role_plan wanted;
-    for (auto const& wish : plan.wishes)
+    for (auto const& wish : plan.assignments)
     {
         wanted.prefill += wish.role == engine_role::prefill;
         wanted.decode += wish.role == engine_role::decode;
@@ -190,7 +190,7 @@
     now_ = now;
     memory_.resize(engines.size());
     engine_role_plan plan;
-    plan.wishes.resize(engines.size());
+    plan.assignments.resize(engines.size());
     auto const usable = std::count_if(engines.begin(), engines.end(),
                                       [](role_engine const& engine)
                                       { return engine.open && !engine.changing; });
--- a/src/policy/role_planner.hpp
+++ b/src/policy/role_planner.hpp
@@ -59,12 +59,12 @@
 /// Planned roles of all engines at one time, with the figures behind them.
 struct engine_role_plan
 {
-    std::vector<engine_assignment> wishes; // by engine
-    std::int64_t slow_step_percent = 0;    // steps with a long prompt if all were mixed
-    std::int64_t prefill_milli = 0;        // engines needed for long prompts, 1000ths
-    std::int64_t decode_milli = 0;         // engines needed for the rest, 1000ths
-    std::int64_t prefill_engines = 0;      // planned
-    std::int64_t orders = 0;               // changes of role to order now
+    std::vector<engine_assignment> assignments; // by engine
+    std::int64_t slow_step_percent = 0; // steps with a long prompt if all were mixed
+    std::int64_t prefill_milli = 0;     // engines needed for long prompts, 1000ths
+    std::int64_t decode_milli = 0;      // engines needed for the rest, 1000ths
+    std::int64_t prefill_engines = 0;   // planned
+    std::int64_t orders = 0;            // changes of role to order now
 
     bool operator==(engine_role_plan const&) const = default;
 };
--- a/src/policy/role_split.cpp
+++ b/src/policy/role_split.cpp
@@ -8,8 +8,8 @@
 namespace marigoldcrank
 {
 
-role_need need_of(work_demand const& fleet, std::int64_t slots,
-                  role_split_options const& options)
+role_need compute_role_need(work_demand const& fleet, std::int64_t slots,
+                            role_split_options const& options)
 {
     auto const streams_per_engine =
         std::max(1.0, static_cast<double>(slots) * options.stream_share);
--- a/src/policy/role_split.hpp
+++ b/src/policy/role_split.hpp
@@ -65,8 +65,8 @@
 };
 
 /// The load on each role from the demand of the fleet; `slots` of one engine.
-role_need need_of(work_demand const& fleet, std::int64_t slots,
-                  role_split_options const& options);
+role_need compute_role_need(work_demand const& fleet, std::int64_t slots,
+                            role_split_options const& options);
 
 /// Number of engines, of `engines` in total, that should be prefill engines. It stays at
 /// `prefill` while neither role is busy or no change would help. A change leaves each
--- a/src/policy/route.cpp
+++ b/src/policy/route.cpp
@@ -55,7 +55,7 @@
         auto const step = speed_.step_us + speed_.stream_us * streams;
         auto const excess_streams = std::max<std::int64_t>(0, streams + 1 - speed_.batch);
         auto const work = tokens * speed_.prefill_us + steps_us(tokens, step) +
-                          excess_streams * options_.turn_us;
+                          excess_streams * options_.full_batch_wait_us;
         return (work * view.slowdown >> speed_bits) + distance_us(view) +
                extra_cost_us(view, uncached);
     }
@@ -71,7 +71,7 @@
         result.prefill_us = tokens * speed_.prefill_us * view.slowdown >> speed_bits;
         result.steps_us = steps_us(tokens, step) * view.slowdown >> speed_bits;
         result.slot_wait_us =
-            excess_streams * options_.turn_us * view.slowdown >> speed_bits;
+            excess_streams * options_.full_batch_wait_us * view.slowdown >> speed_bits;
         result.distance_us = distance_us(view);
         result.hit_tokens = hit_tokens;
         result.extra_cost_us = extra_cost_us(view, uncached);
--- a/src/policy/spending_plan.cpp
+++ b/src/policy/spending_plan.cpp
@@ -60,9 +60,9 @@
         if (input.reachable[zone])
         {
             ++sum.zones;
-            sum.full_price_max += input.most[zone].dear;
+            sum.full_price_max += input.most[zone].full_price;
             sum.cheap_max += input.most[zone].cheap;
-            sum.full_price_min += std::min(input.least, input.most[zone].dear);
+            sum.full_price_min += std::min(input.least, input.most[zone].full_price);
         }
     }
     return sum;
@@ -90,7 +90,8 @@
                                totals const& sum, spending_plan const& plan)
 {
     auto const left = cheap - max_cheap_in_zone(input, cheap);
-    return std::max({sum.full_price_min, plan.for_load - cheap, plan.for_loss - left});
+    return std::max({sum.full_price_min, plan.servers_for_load - cheap,
+                     plan.servers_after_loss - left});
 }
 } // namespace
 
@@ -98,19 +99,19 @@
 {
     spending_plan plan;
     plan.wanted.resize(input.most.size());
-    plan.for_load = servers_for(input.need_milli, options.fill_percent);
-    plan.for_loss = servers_for(input.need_milli, options.loss_percent);
+    plan.servers_for_load = servers_for(input.need_milli, options.fill_percent);
+    plan.servers_after_loss = servers_for(input.need_milli, options.loss_percent);
     auto const   sum = totals_of(input);
     server_count best{sum.full_price_max, sum.cheap_max};
     auto const   price_of = [&](server_count const& count)
     {
-        return count.dear * full_price_cost + count.cheap * options.cheap_price;
+        return count.full_price * full_price_cost + count.cheap * options.cheap_price;
     };
     plan.short_of_servers = true;
     for (std::int64_t cheap = 0; cheap <= sum.cheap_max; ++cheap)
     {
         server_count const candidate{full_price_needed(input, cheap, sum, plan), cheap};
-        if (candidate.dear > sum.full_price_max)
+        if (candidate.full_price > sum.full_price_max)
         {
             continue;
         }
@@ -126,9 +127,11 @@
         return bool{input.reachable[zone]};
     };
     spread(
-        plan.wanted.size(), best.dear,
-        [&](std::size_t zone) { return reachable(zone) ? input.most[zone].dear : 0; },
-        [&](std::size_t zone, std::int64_t count) { plan.wanted[zone].dear = count; });
+        plan.wanted.size(), best.full_price,
+        [&](std::size_t zone)
+        { return reachable(zone) ? input.most[zone].full_price : 0; },
+        [&](std::size_t zone, std::int64_t count)
+        { plan.wanted[zone].full_price = count; });
     spread(
         plan.wanted.size(), best.cheap,
         [&](std::size_t zone) { return cheap_limit(input, zone); },
@@ -142,7 +145,8 @@
 {
     for (std::size_t zone = 0; zone < input.have.size(); ++zone)
     {
-        plan.wanted[zone].dear = std::max(plan.wanted[zone].dear, input.have[zone].dear);
+        plan.wanted[zone].full_price =
+            std::max(plan.wanted[zone].full_price, input.have[zone].full_price);
         plan.wanted[zone].cheap =
             std::max(plan.wanted[zone].cheap, input.have[zone].cheap);
     }
--- a/src/policy/spending_plan.hpp
+++ b/src/policy/spending_plan.hpp
@@ -18,7 +18,7 @@
 /// Servers of one data centre by price.
 struct server_count
 {
-    std::int64_t dear = 0;
+    std::int64_t full_price = 0;
     std::int64_t cheap = 0;
 
     auto operator<=>(server_count const&) const = default;
@@ -40,10 +40,10 @@
 struct spending_plan
 {
     std::vector<server_count> wanted;
-    std::int64_t              price = 0;    // of all wanted servers; full price: 100 each
-    std::int64_t              for_load = 0; // servers that carry the load
-    std::int64_t              for_loss = 0; // servers required after the loss of a zone
-    bool                      short_of_servers = false; // the limits allow too few
+    std::int64_t              price = 0; // of all wanted servers; full price: 100 each
+    std::int64_t              servers_for_load = 0; // servers that carry the load
+    std::int64_t servers_after_loss = 0;   // servers required after the loss of a zone
+    bool         short_of_servers = false; // the limits allow too few
 
     bool operator==(spending_plan const&) const = default;
 };
--- a/src/policy/work_meter.hpp
+++ b/src/policy/work_meter.hpp
@@ -5,7 +5,7 @@
 #define MARIGOLDCRANK_POLICY_WORK_METER_HPP
 
 #include "domain/boot_clock.hpp"
-#include "policy/read_model.hpp"
+#include "policy/prefill_model.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -60,21 +60,21 @@
     }
 
     /// Records a prefill at a prefill engine.
-    void prompt_read(prefill_sample const& sample)
+    void prefill_done(prefill_sample const& sample)
     {
         prefill_.read(sample);
     }
 
     /// Records a handoff: a call whose prompt another engine had prefilled gave its first
     /// event after `took`.
-    void handed_over(boot_clock::duration took)
+    void handoff_done(boot_clock::duration took)
     {
-        prefill_.handed_over(took);
+        prefill_.handoff_done(took);
     }
 
     /// Records a colocated prefill: a decode engine has prefilled a prompt beside its
     /// streams and given the first event.
-    void read_beside(prefill_sample const& sample)
+    void colocated_prefill_done(prefill_sample const& sample)
     {
         colocated_.read(sample);
     }
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -333,7 +333,7 @@
         {
             co_return false;
         }
-        share.prompt_read();
+        share.prefill_done();
         constexpr unsigned first_redirect = 300;
         if (link.facts().status >= first_redirect)
         {
--- a/src/serving/digest_link.hpp
+++ b/src/serving/digest_link.hpp
@@ -30,7 +30,7 @@
 {
     std::vector<crash_update>     crashes;
     std::vector<usage_record>     usage; // the sender's counts
-    std::vector<prefix_news>      prefixes;
+    std::vector<prefix_update>    prefixes;
     std::map<std::string, millis> avoided; // by server: remaining backoff
     std::string                   records; // address where the sender answers other VMs
     std::vector<std::string> heard; // the same of VMs that the sender has heard lately
--- a/src/serving/entry_state.cpp
+++ b/src/serving/entry_state.cpp
@@ -201,7 +201,7 @@
 
 load_share::~load_share()
 {
-    prompt_read();
+    prefill_done();
     auto const found = state_.loads.find(server_);
     if (found != state_.loads.end() && --found->second.running <= 0)
     {
@@ -209,7 +209,7 @@
     }
 }
 
-void load_share::prompt_read()
+void load_share::prefill_done()
 {
     state_.loads[server_].unread -= tokens_;
     tokens_ = 0;
--- a/src/serving/entry_state.hpp
+++ b/src/serving/entry_state.hpp
@@ -153,7 +153,7 @@
     load_share& operator=(load_share const&) = delete;
 
     /// The prefill has ended: the prompt's tokens leave the load.
-    void prompt_read();
+    void prefill_done();
 
 private:
     entry_state& state_;
--- a/src/serving/fleet_orders.hpp
+++ b/src/serving/fleet_orders.hpp
@@ -114,7 +114,7 @@
         {
             auto& fleet = fleets_[value.name];
             fleet.count(count_fleet(value.name, state_.servers.servers()));
-            fleet.want(wanted_servers(value), boot_clock::now());
+            fleet.record_demand(wanted_servers(value), boot_clock::now());
             co_await send_server_orders(value);
             // If cheap servers were refused, the second pass orders full-price ones at
             // once.
@@ -125,8 +125,9 @@
     /// Number of servers that the demand for a service needs; 0 if that isn't known.
     std::int64_t wanted_servers(service const& value)
     {
-        return value.has_engines ? servers_for(need_of(value, split_engines(value.name)))
-                                 : 0;
+        return value.has_engines
+                   ? servers_for(compute_role_need(value, split_engines(value.name)))
+                   : 0;
     }
 
     boost::asio::awaitable<void> send_server_orders(service const& value)
@@ -195,7 +196,7 @@
         auto const               now = boot_clock::now();
         auto const               engines = split_engines(value.name);
         role_split_options const options;
-        auto const               need = need_of(value, engines);
+        auto const               need = compute_role_need(value, engines);
         for (auto const* engine : plan_role_changes(engines, need, now, options))
         {
             auto const role = engine->role == engine_role::prefill ? engine_role::decode
@@ -212,15 +213,16 @@
     }
 
     /// Demand for a service at all VMs, in engines.
-    role_need need_of(service const& value, std::vector<split_engine> const& engines)
+    role_need compute_role_need(service const&                   value,
+                                std::vector<split_engine> const& engines)
     {
         if (engines.empty())
         {
             return {};
         }
         auto const demand = state_.demand(value.name, boot_clock::now());
-        auto       need = marigoldcrank::need_of(demand, engines.front().server->slots,
-                                                 role_split_options{});
+        auto       need = marigoldcrank::compute_role_need(
+                  demand, engines.front().server->slots, role_split_options{});
         need.beside = state_.pauses[value.name].tolerates_prefill(state_.settings.beside);
         return need;
     }
--- a/src/serving/model_placing.cpp
+++ b/src/serving/model_placing.cpp
@@ -143,13 +143,13 @@
     {
         return candidates;
     }
-    auto const kept = state_.prefixes.kept(call_.prompt, boot_clock::now());
+    auto const cached = state_.prefixes.cached(call_.prompt, boot_clock::now());
     for (auto& each : candidates)
     {
-        auto const found = kept.find(each.server->id);
-        if (found != kept.end())
+        auto const found = cached.find(each.server->id);
+        if (found != cached.end())
         {
-            each.kept = found->second.all;
+            each.cached = found->second.all;
             each.ready = found->second.ready;
         }
     }
@@ -170,7 +170,7 @@
 {
     if (state_.settings.learn)
     {
-        meter().prompt_read(
+        meter().prefill_done(
             {.tokens = planned.unread, .wait_ms = planned.wait_ms, .took = took});
     }
 }
@@ -180,14 +180,14 @@
 {
     if (state_.settings.learn)
     {
-        meter().read_beside(
+        meter().colocated_prefill_done(
             {.tokens = planned.unread, .wait_ms = planned.wait_ms, .took = took});
     }
 }
 
 void model_placement::record_handoff(boot_clock::duration took)
 {
-    meter().handed_over(took);
+    meter().handoff_done(took);
 }
 
 void model_placement::record_stream(std::int64_t chunk_count, boot_clock::duration took,
--- a/src/serving/peer_exchange.cpp
+++ b/src/serving/peer_exchange.cpp
@@ -41,10 +41,10 @@
     return update_source::others;
 }
 
-std::vector<prefix_news> prefixes_for(digest_scope                 scope,
-                                      prefix_news_by_source const& prefix_updates)
+std::vector<prefix_update> prefixes_for(digest_scope                    scope,
+                                        prefix_updates_by_source const& prefix_updates)
 {
-    std::vector<prefix_news> result;
+    std::vector<prefix_update> result;
     for (auto const& [source, updates] : prefix_updates)
     {
         if (source <= widest_source(scope))
@@ -85,7 +85,7 @@
     digest_extras extras{.crashes = state_.crashes.updates(now),
                          .records = state_.contact.records};
     state_.fleet.note(state_.peers.vms(now) + 1, listed_vms_, now);
-    auto const prefix_updates = state_.prefixes.take_news();
+    auto const prefix_updates = state_.prefixes.take_updates();
     ++rounds_;
     if (rounds_ % expiry_interval == 0)
     {
@@ -153,18 +153,18 @@
                             {.mesh = static_cast<std::size_t>(state_.settings.mesh)});
     log_plan(plan);
     digests_.follow(plan.digests, scopes_of(plan));
-    state_.serves_peers = plan.answers;
+    state_.serves_peers = plan.serves_records;
     state_.is_first_relay = plan.leads;
     state_.peers.follow(plan, state_.incarnation, state_.settings.data_centre);
     listed_vms_ = static_cast<std::int64_t>(vms.size());
     if (quotas_)
     {
-        quotas_->follow(plan.homes);
+        quotas_->follow(plan.owners);
     }
     if (records_)
     {
         records_->follow(plan.records);
-        records_->serve(plan.answers);
+        records_->serve(plan.serves_records);
     }
     plan_ = std::move(plan);
 }
@@ -184,7 +184,7 @@
 
 void peer_exchange::log_plan(relay_plan const& plan)
 {
-    if (plan.mesh == plan_.mesh && plan.answers == plan_.answers &&
+    if (plan.mesh == plan_.mesh && plan.serves_records == plan_.serves_records &&
         plan.records == plan_.records)
     {
         return;
@@ -193,7 +193,7 @@
         event_line{"relays"}
             .add("mesh", plan.mesh ? 1 : 0)
             .add("relay", plan.relay ? 1 : 0)
-            .add("answers", plan.answers ? 1 : 0)
+            .add("answers", plan.serves_records ? 1 : 0)
             .add("digests_from", static_cast<std::int64_t>(plan.digests.size()))
             .add("records_from", plan.records.empty() ? "" : plan.records.front()),
         boot_clock::now());
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -191,7 +191,7 @@
         return (silent(vm) ? 2 : 0) + (state_.heard_lately(vm, now) ? 0 : 1);
     };
     constexpr int unreachable = 3; // no digests and no replies
-    auto          owners = order_homes(workspace, owners_);
+    auto          owners = rank_owners(workspace, owners_);
     std::erase_if(owners, [&](std::string const& each)
                   { return unreachability(each) == unreachable; });
     std::stable_sort(owners.begin(), owners.end(),
@@ -201,7 +201,7 @@
 }
 
 asio::awaitable<std::optional<quota_answer>> quota_gate::query(std::string address,
-                                                               quota_ask   request)
+                                                               quota_query request)
 {
     if (address == state_.contact.records)
     {
@@ -250,20 +250,20 @@
     quota_answer answer;
     hold = {.workspace = caller_workspace.name};
     co_await wait_for_fleet();
-    quota_course course{order(caller_workspace.name)};
-    while (!course.address().empty())
+    quota_queries queries{order(caller_workspace.name)};
+    while (!queries.address().empty())
     {
-        hold.granted_by = course.address();
-        quota_ask  request{caller_workspace.name, units, course.left()};
-        auto const reply = co_await query(hold.granted_by, std::move(request));
+        hold.granted_by = queries.address();
+        quota_query request{caller_workspace.name, units, queries.left()};
+        auto const  reply = co_await query(hold.granted_by, std::move(request));
         answer = reply.value_or(quota_answer{});
         bool const declined = answer.outcome == quota_outcome::declined;
-        course.take(!reply     ? quota_reply::silent
-                    : declined ? quota_reply::declined
-                               : quota_reply::decided,
-                    answer.home);
+        queries.take(!reply     ? quota_reply::silent
+                     : declined ? quota_reply::declined
+                                : quota_reply::decided,
+                     answer.home);
     }
-    if (!course.decided())
+    if (!queries.decided())
     {
         hold.granted_by.clear();
         answer = decide_isolated(caller_workspace.name, units, *caller_workspace.quota);
@@ -282,7 +282,7 @@
                                          workspace_quota const& quota)
 {
     auto const now = boot_clock::now();
-    auto const bounds = bounds_alone(quota, terms(), state_.fleet.alone());
+    auto const bounds = isolated_bounds(quota, terms(), state_.fleet.single_vm_share());
     auto const bucket = isolated_buckets_.try_emplace(workspace, bounds, now).first;
     bucket->second.limit(bounds, now);
     bool const over = bucket->second.take(units, now).has_value();
@@ -316,7 +316,7 @@
 
 // 4. Replies
 
-quota_answer quota_gate::reply_as_owner(quota_ask const& ask)
+quota_answer quota_gate::reply_as_owner(quota_query const& ask)
 {
     auto const  now = boot_clock::now();
     auto const& rules = state_.view.rules;
@@ -331,12 +331,13 @@
         return {.outcome = quota_outcome::granted};
     }
     auto const& own = state_.contact.records;
-    home_view   view{.stops = state_.draining, .share = state_.fleet.value()};
-    for (auto const& each : order_homes(ask.workspace, owners_))
+    owner_view  view{.stopping = state_.draining, .share = state_.fleet.value()};
+    for (auto const& each : rank_owners(ask.workspace, owners_))
     {
         view.listed = view.listed || each == own;
-        bool const before = !view.listed && view.ahead.empty() && each != ask.left;
-        view.ahead = before && state_.heard_lately(each, now) ? each : view.ahead;
+        bool const before = !view.listed && view.predecessor.empty() && each != ask.left;
+        view.predecessor =
+            before && state_.heard_lately(each, now) ? each : view.predecessor;
     }
     return home_.answer(ask, *caller_workspace->quota, view, now);
 }
--- a/src/serving/quota_gate.hpp
+++ b/src/serving/quota_gate.hpp
@@ -2,14 +2,14 @@
 //
 // Index: 1 quota_hold, 2 quota_gate
 //
-// policy/quota_home.hpp decides how an owner counts quotas, and policy/quota_course.hpp
+// policy/quota_owner.hpp decides how an owner counts quotas, and policy/quota_queries.hpp
 // which VMs are asked.
 #ifndef MARIGOLDCRANK_SERVING_QUOTA_GATE_HPP
 #define MARIGOLDCRANK_SERVING_QUOTA_GATE_HPP
 
 #include "domain/caller_call.hpp"
-#include "policy/quota_course.hpp"
-#include "policy/quota_home.hpp"
+#include "policy/quota_owner.hpp"
+#include "policy/quota_queries.hpp"
 #include "serving/entry_state.hpp"
 #include "serving/own_reply.hpp"
 
@@ -89,14 +89,14 @@
     boost::asio::awaitable<void> wait_for_fleet() const;
 
     /// Decides on a query as the owner.
-    quota_answer reply_as_owner(quota_ask const& ask);
+    quota_answer reply_as_owner(quota_query const& ask);
     /// Replies to the serialised query of another VM; empty if it needs no reply.
     std::string reply_to_vm(std::string const& serialized);
 
     /// Queries a VM, or decides here if it is this one; nothing if it doesn't reply in
     /// time.
     boost::asio::awaitable<std::optional<quota_answer>> query(std::string address,
-                                                              quota_ask   request);
+                                                              quota_query request);
 
     /// Decides with the local bucket, while no VM replies.
     quota_answer decide_isolated(std::string const& workspace, std::int64_t units,
@@ -106,7 +106,7 @@
                      quota_hold const& hold, quota_answer const& answer);
 
     entry_state&                                  state_;
-    quota_home                                    home_;
+    quota_owner                                   home_;
     std::vector<std::string>                      owners_;
     std::map<std::string, boot_clock::time_point> backoff_until_; // asked last until then
     std::map<std::string, quota_bucket> isolated_buckets_;        // while no VM replies
--- a/tests/property/policy_property_test.cpp
+++ b/tests/property/policy_property_test.cpp
@@ -201,19 +201,19 @@
     std::int64_t           all = 0;
     for (std::size_t zone = 0; zone < 3; ++zone)
     {
-        RC_ASSERT(plan.wanted[zone].dear <= input.most[zone].dear);
+        RC_ASSERT(plan.wanted[zone].full_price <= input.most[zone].full_price);
         RC_ASSERT(plan.wanted[zone].cheap <= input.most[zone].cheap);
         RC_ASSERT(input.reachable[zone] || plan.wanted[zone] == server_count{});
-        all += plan.wanted[zone].dear + plan.wanted[zone].cheap;
+        all += plan.wanted[zone].full_price + plan.wanted[zone].cheap;
     }
     if (plan.short_of_servers)
     {
         return;
     }
-    RC_ASSERT(all >= plan.for_load);
+    RC_ASSERT(all >= plan.servers_for_load);
     for (std::size_t zone = 0; zone < 3; ++zone)
     {
-        RC_ASSERT(all - plan.wanted[zone].cheap >= plan.for_loss);
+        RC_ASSERT(all - plan.wanted[zone].cheap >= plan.servers_after_loss);
     }
 }
 
--- a/tests/property/read_model_property_test.cpp
+++ b/tests/property/prefill_model_property_test.cpp
@@ -1,7 +1,7 @@
 // Tests what the prefill model learns from prefills.
 //
 // Index: 1 simulated engines, 2 bounds, 3 changes
-#include "policy/read_model.hpp"
+#include "policy/prefill_model.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -75,7 +75,7 @@
     {
         auto const ms = *rc::gen::inRange(-1000, 10'000'000);
         model.read({.tokens = *rc::gen::inRange(-5, 2'000'000), .took = millis{ms}});
-        model.handed_over(millis{ms});
+        model.handoff_done(millis{ms});
     }
     RC_ASSERT(model.speed() >= bounds.min_speed * 0.999);
     RC_ASSERT(model.speed() <= bounds.max_speed * 1.001);
--- a/tests/replay/load_policy_test.cpp
+++ b/tests/replay/load_policy_test.cpp
@@ -74,13 +74,13 @@
                                    placement_options const& options = {}) const
     {
         auto       each = candidates();
-        auto const cached_by_engine = caches.kept(call.prompt, now);
+        auto const cached_by_engine = caches.cached(call.prompt, now);
         for (auto& engine : each)
         {
             auto const found = cached_by_engine.find(engine.server->id);
             if (found != cached_by_engine.end())
             {
-                engine.kept = found->second.all;
+                engine.cached = found->second.all;
                 engine.ready = found->second.ready;
             }
         }
@@ -458,13 +458,13 @@
     boot_clock::time_point now{std::chrono::hours{1}};
     for (int call = 0; call < 60; ++call)
     {
-        meter.prompt_read({.tokens = 11'000, .took = millis{200}});
+        meter.prefill_done({.tokens = 11'000, .took = millis{200}});
     }
     for (int call = 0; call < 300; ++call)
     {
         now += millis{30};
         meter.prompt(6000, now);
-        meter.prompt_read({.tokens = 6000, .wait_ms = 2800, .took = seconds{3}});
+        meter.prefill_done({.tokens = 6000, .wait_ms = 2800, .took = seconds{3}});
     }
     EXPECT_GT(meter.prefill_speed(), 50'000);
     EXPECT_LT(meter.demand(now).prefill_engines(), 5);
@@ -483,7 +483,7 @@
 fleet_state three_data_centres(fleet_count present, std::int64_t wanted)
 {
     fleet_state state{.wanted = wanted,
-                      .known_since = boot_clock::time_point{seconds{1}}};
+                      .demand_known_since = boot_clock::time_point{seconds{1}}};
     for (auto const* name : {"a", "b", "c"})
     {
         state.centres[name] = {.present = present};
@@ -511,7 +511,7 @@
 TEST(load_policy, cheap_servers_are_ordered_up_to_the_bound_above_a_minimum)
 {
     auto state = three_data_centres({.full = 4}, 0);
-    state.known_since = {};
+    state.demand_known_since = {};
     auto const orders = plan_fleet(model_service(), state, start_time, {});
     ASSERT_EQ(orders.size(), 6U);
     EXPECT_EQ(orders[0], (server_order{"m", "a", 1, false}));
@@ -564,7 +564,7 @@
 {
     fleet_state successor;
     successor.count({{"a", {1, 7}}, {"b", {1, 0}}, {"c", {1, 0}}});
-    successor.want(10, start_time);
+    successor.record_demand(10, start_time);
     successor.centres["b"].refused = start_time;
     successor.centres["c"].refused = start_time;
     auto const orders = plan_fleet(model_service(), successor, start_time, {});
@@ -601,8 +601,8 @@
 TEST(load_policy, demand_known_only_briefly_dismisses_no_server)
 {
     auto state = three_data_centres({.full = 1, .cheap = 7}, 0);
-    state.known_since = {};
-    state.want(1, start_time);
+    state.demand_known_since = {};
+    state.record_demand(1, start_time);
     EXPECT_TRUE(plan_fleet(model_service(), state, start_time + seconds{2}, {}).empty());
     EXPECT_FALSE(plan_fleet(model_service(), state, start_time + seconds{9}, {}).empty());
 }
@@ -615,7 +615,7 @@
     auto       now = start_time;
     for (int read = 0; read < 100; ++read)
     {
-        meter.prompt_read({.tokens = 50'000, .took = seconds{1}});
+        meter.prefill_done({.tokens = 50'000, .took = seconds{1}});
     }
     for (int call = 0; call < 200; ++call)
     {
@@ -630,10 +630,10 @@
 TEST(load_policy, wanted_servers_are_held_between_bursts)
 {
     fleet_state state;
-    state.want(12, start_time);
-    state.want(3, start_time + seconds{5});
+    state.record_demand(12, start_time);
+    state.record_demand(3, start_time + seconds{5});
     EXPECT_EQ(state.wanted, 12);
-    state.want(3, start_time + seconds{9});
+    state.record_demand(3, start_time + seconds{9});
     EXPECT_EQ(state.wanted, 3);
 }
 
--- a/tests/unit/fleet_orders_test.cpp
+++ b/tests/unit/fleet_orders_test.cpp
@@ -81,7 +81,7 @@
         auto const now = boot_clock::now();
         for (int read = 0; read < 100; ++read)
         {
-            meter.prompt_read({.tokens = 50'000, .took = std::chrono::seconds{1}});
+            meter.prefill_done({.tokens = 50'000, .took = std::chrono::seconds{1}});
         }
         meter.prompt(4'000'000, now);
     }
--- a/tests/unit/prefix_directory_test.cpp
+++ b/tests/unit/prefix_directory_test.cpp
@@ -28,11 +28,12 @@
 {
     prefix_directory caches;
     caches.sent("e", {{"a", 100}, {"b", 1000}, {"own", 10}}, millis{0}, at(0));
-    EXPECT_EQ(caches.kept({{"a", 100}, {"b", 1000}, {"x", 7}}, at(1)), only("e", 1100));
-    EXPECT_EQ(caches.kept({{"a", 100}, {"c", 1000}, {"x", 7}}, at(1)), only("e", 100));
-    EXPECT_TRUE(caches.kept({{"c", 50}, {"b", 1000}, {"x", 7}}, at(1)).empty());
-    EXPECT_TRUE(caches.kept({{"own", 10}, {"x", 7}}, at(1)).empty()); // one caller's part
-    EXPECT_TRUE(caches.kept({}, at(1)).empty());
+    EXPECT_EQ(caches.cached({{"a", 100}, {"b", 1000}, {"x", 7}}, at(1)), only("e", 1100));
+    EXPECT_EQ(caches.cached({{"a", 100}, {"c", 1000}, {"x", 7}}, at(1)), only("e", 100));
+    EXPECT_TRUE(caches.cached({{"c", 50}, {"b", 1000}, {"x", 7}}, at(1)).empty());
+    EXPECT_TRUE(
+        caches.cached({{"own", 10}, {"x", 7}}, at(1)).empty()); // one caller's part
+    EXPECT_TRUE(caches.cached({}, at(1)).empty());
 }
 
 TEST(prefix_directory, engines_with_fewer_cached_parts_are_listed_with_fewer_tokens)
@@ -40,9 +41,9 @@
     prefix_directory caches;
     caches.sent("e", {{"a", 100}, {"b", 1000}, {"own", 10}}, millis{0}, at(0));
     caches.sent("f", {{"a", 100}, {"own", 10}}, millis{0}, at(0));
-    auto const kept = caches.kept({{"a", 100}, {"b", 1000}, {"x", 7}}, at(1));
-    EXPECT_EQ(kept.at("e").all, 1100);
-    EXPECT_EQ(kept.at("f").all, 100);
+    auto const cached = caches.cached({{"a", 100}, {"b", 1000}, {"x", 7}}, at(1));
+    EXPECT_EQ(cached.at("e").all, 1100);
+    EXPECT_EQ(cached.at("f").all, 100);
 }
 
 // A call that counts on a part whose prefill hasn't ended repeats the prefill.
@@ -52,9 +53,9 @@
     prompt const     call{{"a", 100}, {"b", 1000}, {"own", 10}};
     caches.sent("e", {{"a", 100}, {"own", 10}}, millis{0}, at(0));
     caches.sent("e", call, millis{300}, at(10));
-    EXPECT_EQ(caches.kept(call, at(100)).at("e"), (cached_tokens{1100, 100}));
+    EXPECT_EQ(caches.cached(call, at(100)).at("e"), (cached_tokens{1100, 100}));
     caches.sent("e", call, millis{300}, at(200)); // waits for the same prefill
-    EXPECT_EQ(caches.kept(call, at(310)).at("e"), (cached_tokens{1100, 1100}));
+    EXPECT_EQ(caches.cached(call, at(310)).at("e"), (cached_tokens{1100, 1100}));
 }
 
 // 2. Updates
@@ -66,15 +67,15 @@
     prompt const     call{{"a", 100}, {"own", 10}};
     sender.sent("e", call, millis{0}, at(0));
     sender.sent("e", call, millis{0}, at(10));
-    auto const news = sender.take_news()[update_source::own];
+    auto const news = sender.take_updates()[update_source::own];
     ASSERT_EQ(news.size(), 1U);
     EXPECT_EQ(news.front().parts.size(), 1U);
     receiver.hear(news.front(), update_source::centre, at(100));
-    EXPECT_EQ(receiver.kept(call, at(101)).at("e").ready, 0); // still in prefill
-    EXPECT_EQ(receiver.kept(call, at(600)), only("e", 100));
-    EXPECT_TRUE(sender.take_news().empty());
+    EXPECT_EQ(receiver.cached(call, at(101)).at("e").ready, 0); // still in prefill
+    EXPECT_EQ(receiver.cached(call, at(600)), only("e", 100));
+    EXPECT_TRUE(sender.take_updates().empty());
     sender.sent("e", call, millis{0}, at(5000));
-    EXPECT_EQ(sender.take_news()[update_source::own].size(), 1U);
+    EXPECT_EQ(sender.take_updates()[update_source::own].size(), 1U);
 }
 
 // If two relays passed on updates that they receive from each other, the updates would
@@ -84,13 +85,13 @@
     prefix_directory relay;
     relay.hear({"e", {1, 2}}, update_source::centre, at(0));
     relay.hear({"f", {3}}, update_source::others, at(0));
-    auto const published = relay.take_news();
+    auto const published = relay.take_updates();
     EXPECT_EQ(published.at(update_source::centre),
-              (std::vector<prefix_news>{{"e", {1, 2}}}));
+              (std::vector<prefix_update>{{"e", {1, 2}}}));
     EXPECT_EQ(published.at(update_source::others),
-              (std::vector<prefix_news>{{"f", {3}}}));
+              (std::vector<prefix_update>{{"f", {3}}}));
     relay.hear({"e", {1, 2}}, update_source::others, at(150));
-    EXPECT_TRUE(relay.take_news().empty());
+    EXPECT_TRUE(relay.take_updates().empty());
 }
 
 // 3. Expiry
@@ -103,7 +104,7 @@
     prompt const     call{{"a", 100}, {"own", 10}};
     caches.sent("e", call, millis{0}, at(0));
     caches.forget("e");
-    EXPECT_TRUE(caches.kept(call, at(1)).empty());
+    EXPECT_TRUE(caches.cached(call, at(1)).empty());
 }
 
 // Engines leave and return under the same id while parts expire. The index by part and
@@ -121,9 +122,9 @@
         caches.sent("f", part, millis{0}, start);
         caches.forget("e");
         caches.forget("e");
-        EXPECT_EQ(caches.kept(part, start), only("f", 100));
+        EXPECT_EQ(caches.cached(part, start), only("f", 100));
         caches.sent("e", part, millis{0}, start);
-        EXPECT_EQ(caches.kept(part, start).size(), 2U);
+        EXPECT_EQ(caches.cached(part, start).size(), 2U);
         caches.expire(start + max_age * 2);
         EXPECT_EQ(caches.size(), 0U);
         caches.forget("f");
@@ -136,7 +137,7 @@
     prompt const     call{{"a", 100}, {"own", 10}};
     caches.sent("e", call, millis{0}, at(0));
     auto const later = at(0) + prefix_directory_options{}.max_age + millis{1};
-    EXPECT_TRUE(caches.kept(call, later).empty());
+    EXPECT_TRUE(caches.cached(call, later).empty());
     EXPECT_EQ(caches.size(), 1U);
     caches.expire(later);
     EXPECT_EQ(caches.size(), 0U);
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -3,8 +3,8 @@
 // Index: 1 bucket, 2 fleet share, 3 owners, 4 sequence of queries, 5 cost
 #include "policy/fleet_share.hpp"
 #include "policy/quota_bucket.hpp"
-#include "policy/quota_course.hpp"
-#include "policy/quota_home.hpp"
+#include "policy/quota_owner.hpp"
+#include "policy/quota_queries.hpp"
 #include "serving/quota_gate.hpp"
 
 #include <gtest/gtest.h>
@@ -83,7 +83,7 @@
 TEST(quota_bucket, isolated_vms_together_hold_less_than_an_owner_starts_with)
 {
     constexpr int vms = 300;
-    auto const    alone = bounds_alone(small_quota, terms, 1.0 / vms);
+    auto const    alone = isolated_bounds(small_quota, terms, 1.0 / vms);
     auto const    start = shared_bounds(small_quota, terms, 1).start;
     EXPECT_LE(alone.capacity * vms, start / 2 * 1.001);
     quota_bucket bucket(alone, at_ms(0));
@@ -160,7 +160,7 @@
 
 std::vector<std::string> const offered{"a", "b", "c", "d", "e", "f"};
 
-TEST(quota_home, workspaces_are_spread_and_few_move_when_a_vm_leaves)
+TEST(quota_owner, workspaces_are_spread_and_few_move_when_a_vm_leaves)
 {
     auto fewer = offered;
     fewer.pop_back();
@@ -171,9 +171,9 @@
     {
         std::string name = "workspace-";
         name += std::to_string(index);
-        auto const home = order_homes(name, offered).front();
+        auto const home = rank_owners(name, offered).front();
         ++homes[home];
-        moved += home != "f" && order_homes(name, fewer).front() != home ? 1 : 0;
+        moved += home != "f" && rank_owners(name, fewer).front() != home ? 1 : 0;
     }
     EXPECT_EQ(moved, 0);
     for (auto const& [home, count] : homes)
@@ -183,31 +183,31 @@
 }
 
 // Two VMs that both act as the owner would grant twice the quota.
-TEST(quota_home, vm_that_hears_one_before_it_names_that_one)
+TEST(quota_owner, vm_that_hears_one_before_it_names_that_one)
 {
-    quota_home home{terms};
-    home_view  view{.listed = true, .stops = false, .ahead = "a", .share = 1};
-    auto const answer = home.answer({"w", 10, ""}, small_quota, view, at_ms(0));
+    quota_owner home{terms};
+    owner_view  view{.listed = true, .stopping = false, .predecessor = "a", .share = 1};
+    auto const  answer = home.answer({"w", 10, ""}, small_quota, view, at_ms(0));
     EXPECT_EQ(answer.outcome, quota_outcome::declined);
     EXPECT_EQ(answer.home, "a");
     auto const left = home.answer({"w", 10, "a"}, small_quota, view, at_ms(0));
     EXPECT_EQ(left.outcome, quota_outcome::granted); // "a" replied that it stops
 }
 
-TEST(quota_home, vm_that_stops_owns_no_quota)
+TEST(quota_owner, vm_that_stops_owns_no_quota)
 {
-    quota_home home{terms};
-    home_view  view{.listed = true, .stops = true, .ahead = {}, .share = 1};
-    auto const answer = home.answer({"w", 10, ""}, small_quota, view, at_ms(0));
+    quota_owner home{terms};
+    owner_view  view{.listed = true, .stopping = true, .predecessor = {}, .share = 1};
+    auto const  answer = home.answer({"w", 10, ""}, small_quota, view, at_ms(0));
     EXPECT_EQ(answer.outcome, quota_outcome::declined);
     EXPECT_TRUE(answer.home.empty());
 }
 
 // 4. Sequence of queries
 
-TEST(quota_course, silent_owner_is_queried_again_if_the_next_vm_reports_it_alive)
+TEST(quota_queries, silent_owner_is_queried_again_if_the_next_vm_reports_it_alive)
 {
-    quota_course queries{{"a", "b", "c"}};
+    quota_queries queries{{"a", "b", "c"}};
     EXPECT_EQ(queries.address(), "a");
     queries.take(quota_reply::silent);
     EXPECT_EQ(queries.address(), "b");
@@ -218,19 +218,19 @@
     EXPECT_TRUE(queries.address().empty());
 }
 
-TEST(quota_course, owner_that_stops_is_named_to_the_next_vm)
+TEST(quota_queries, owner_that_stops_is_named_to_the_next_vm)
 {
-    quota_course queries{{"a", "b"}};
+    quota_queries queries{{"a", "b"}};
     queries.take(quota_reply::declined);
     EXPECT_EQ(queries.address(), "b");
     EXPECT_EQ(queries.left(), "a");
 }
 
 // Queries without a bound would hold a call past its deadline.
-TEST(quota_course, ends_after_three_queries)
+TEST(quota_queries, ends_after_three_queries)
 {
-    quota_course queries{{"a", "b", "c", "d"}};
-    int          questions = 0;
+    quota_queries queries{{"a", "b", "c", "d"}};
+    int           questions = 0;
     while (!queries.address().empty())
     {
         queries.take(quota_reply::silent);
@@ -240,9 +240,9 @@
     EXPECT_FALSE(queries.decided());
 }
 
-TEST(quota_course, is_empty_without_candidates)
+TEST(quota_queries, is_empty_without_candidates)
 {
-    quota_course const queries{{}};
+    quota_queries const queries{{}};
     EXPECT_TRUE(queries.address().empty());
     EXPECT_FALSE(queries.decided());
 }
