--- a/src/serving/call_admission.hpp
+++ b/src/serving/call_admission.hpp
@@ -5,7 +5,7 @@
 #define MARIGOLDCRANK_SERVING_CALL_ADMISSION_HPP
 
 #include "serving/entry_state.hpp"
-#include "serving/own_reply.hpp"
+#include "serving/own_response.hpp"
 
 #include <memory>
 #include <optional>
--- a/src/serving/call_sends.cpp
+++ b/src/serving/call_attempts.cpp
@@ -1,5 +1,5 @@
 // Conditions and results of the attempts of a call.
-#include "serving/call_sends.hpp"
+#include "serving/call_attempts.hpp"
 
 namespace marigoldcrank
 {
--- a/src/serving/call_sends.hpp
+++ b/src/serving/call_attempts.hpp
@@ -1,12 +1,12 @@
 // The attempts of one call: where the next one may go, and how earlier ones ended.
 //
 // Index: 1 attempt_result, 2 call_attempts
-#ifndef MARIGOLDCRANK_SERVING_CALL_SENDS_HPP
-#define MARIGOLDCRANK_SERVING_CALL_SENDS_HPP
+#ifndef MARIGOLDCRANK_SERVING_CALL_ATTEMPTS_HPP
+#define MARIGOLDCRANK_SERVING_CALL_ATTEMPTS_HPP
 
 #include "policy/attempt_history.hpp"
 #include "serving/call_admission.hpp"
-#include "serving/call_notes.hpp"
+#include "serving/call_log.hpp"
 
 #include <set>
 #include <string>
--- a/src/serving/call_notes.cpp
+++ b/src/serving/call_log.cpp
@@ -1,5 +1,5 @@
 // Log lines and counters of a call, and their fields.
-#include "serving/call_notes.hpp"
+#include "serving/call_log.hpp"
 
 #include <cmath>
 
--- a/src/serving/call_notes.hpp
+++ b/src/serving/call_log.hpp
@@ -1,13 +1,13 @@
 // Writes the log lines and counters of one call.
 //
 // Index: 1 call_summary, 2 attempt_failure, 3 attempt_plan, 4 call_log
-#ifndef MARIGOLDCRANK_SERVING_CALL_NOTES_HPP
-#define MARIGOLDCRANK_SERVING_CALL_NOTES_HPP
+#ifndef MARIGOLDCRANK_SERVING_CALL_LOG_HPP
+#define MARIGOLDCRANK_SERVING_CALL_LOG_HPP
 
 #include "policy/attempt_history.hpp"
 #include "policy/placement.hpp"
 #include "serving/call_admission.hpp"
-#include "serving/stream_pace.hpp"
+#include "serving/stream_timing.hpp"
 
 #include <cstdint>
 #include <string>
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -9,16 +9,16 @@
 #define MARIGOLDCRANK_SERVING_CALL_RUNNER_HPP
 
 #include "serving/call_admission.hpp"
-#include "serving/call_notes.hpp"
-#include "serving/call_sends.hpp"
-#include "serving/caller_link.hpp"
+#include "serving/call_attempts.hpp"
+#include "serving/call_log.hpp"
+#include "serving/caller_socket.hpp"
 #include "serving/handle_release.hpp"
-#include "serving/model_placing.hpp"
-#include "serving/own_reply.hpp"
+#include "serving/model_placement.hpp"
+#include "serving/own_response.hpp"
 #include "serving/quota_gate.hpp"
 #include "serving/server_exchange.hpp"
-#include "serving/stream_pace.hpp"
 #include "serving/stream_relay.hpp"
+#include "serving/stream_timing.hpp"
 
 namespace marigoldcrank
 {
@@ -36,8 +36,8 @@
 class call_runner
 {
 public:
-    call_runner(entry_state& state, caller_connection& caller,
-                http_request const& request, caller_call call)
+    call_runner(entry_state& state, caller_socket& caller, http_request const& request,
+                caller_call call)
         : state_(state), caller_(caller), request_(request), call_(std::move(call)),
           arrived_(boot_clock::now()), log_(state, call_.id, arrived_),
           placement_(state, call_, admitted_), timing_(arrived_),
@@ -166,13 +166,13 @@
         bool const  head_only = request_.method_string() == "HEAD";
         if (!head_only)
         {
-            bool const whole =
+            bool const complete =
                 co_await link.read_complete_body(body, attempts_.attempt_deadline());
-            if (!whole && !caller_.disconnected())
+            if (!complete && !caller_.disconnected())
             {
                 attempts_.record_result(result_of(link, attempt_outcome::unknown));
             }
-            if (!whole)
+            if (!complete)
             {
                 co_return caller_.disconnected();
             }
@@ -291,7 +291,7 @@
         {
             answered = co_await link.read_complete_body(body, until);
         }
-        auto const handle = answered ? Dialect::read_handle(body) : std::nullopt;
+        auto const handle = answered ? Dialect::parse_handle(body) : std::nullopt;
         if (!handle)
         {
             if (!caller_.disconnected())
@@ -350,9 +350,9 @@
     boost::asio::awaitable<bool> relay_events(exchange& link)
     {
         std::string bytes;
-        auto        step = body_step::more;
+        auto        step = body_result::more;
         stream_.begin_server();
-        while (step == body_step::more)
+        while (step == body_result::more)
         {
             bytes.clear();
             step = co_await link.read_body(bytes, admitted_.deadline);
@@ -360,13 +360,13 @@
             {
                 co_return true;
             }
-            bool const whole = step == body_step::whole;
-            if (!co_await relay_complete_events(link, bytes, whole))
+            bool const complete = step == body_result::complete;
+            if (!co_await relay_complete_events(link, bytes, complete))
             {
                 co_return true;
             }
         }
-        if (step == body_step::whole)
+        if (step == body_result::complete)
         {
             end_stream(link);
             co_return true;
@@ -381,11 +381,11 @@
 
     /// Writes the events that `bytes` completes. Returns false if the write fails.
     boost::asio::awaitable<bool>
-    relay_complete_events(exchange& link, std::string const& bytes, bool whole)
+    relay_complete_events(exchange& link, std::string const& bytes, bool complete)
     {
         bool const began = stream_.started();
         auto const events = stream_.chunk_count();
-        auto const out = stream_.take(link.head(), bytes, whole);
+        auto const out = stream_.take(link.head(), bytes, complete);
         if (stream_.chunk_count() > events)
         {
             timing_.record_events(boot_clock::now());
@@ -452,7 +452,7 @@
 
     // Attempts
 
-    onward_call attempt_options_for(backend_server const& server) const
+    attempt_options attempt_options_for(backend_server const& server) const
     {
         return {.server_id = server.id,
                 .workspace = admitted_.caller_workspace == nullptr
@@ -476,9 +476,10 @@
     }
 
     boost::asio::awaitable<attempt_outcome>
-    send_message(exchange& link, onward_call message, bool internal, loop_time until)
+    send_message(exchange& link, attempt_options message, bool internal, loop_time until)
     {
-        exchange_request request{.message = Dialect::build_onward(request_, message),
+        exchange_request request{.message =
+                                     Dialect::build_attempt_request(request_, message),
                                  .call_id = call_.id,
                                  .not_repeatable = !admitted_.repeatable && !internal,
                                  .internal = internal,
@@ -514,9 +515,10 @@
         auto const slash = source.find('/');
         if (slash != std::string::npos)
         {
-            release_handle(caller_.stream().get_executor(),
-                           {server.host, static_cast<std::uint16_t>(server.port)},
-                           Dialect::build_release(source.substr(slash + 1), server.host));
+            release_handle(
+                caller_.stream().get_executor(),
+                {server.host, static_cast<std::uint16_t>(server.port)},
+                Dialect::build_release_request(source.substr(slash + 1), server.host));
         }
     }
 
@@ -596,7 +598,7 @@
     }
 
     entry_state&           state_;
-    caller_connection&     caller_;
+    caller_socket&         caller_;
     http_request const&    request_;
     caller_call            call_;
     boot_clock::time_point arrived_;
--- a/src/serving/caller_session.hpp
+++ b/src/serving/caller_session.hpp
@@ -19,7 +19,7 @@
 
 /// Connections that wait for a request. A drain closes them once the load balancer has
 /// noticed it.
-using idle_links = std::set<std::shared_ptr<caller_connection>>;
+using idle_connections = std::set<std::shared_ptr<caller_socket>>;
 
 /// Limits on headers, body and times come from the rules in force when a request begins.
 /// A request that violates HTTP or these limits is refused, and its connection is closed.
@@ -27,10 +27,10 @@
 class caller_session
 {
 public:
-    caller_session(entry_state& state, idle_links& idle,
+    caller_session(entry_state& state, idle_connections& idle,
                    boost::asio::ip::tcp::socket socket)
         : state_(state), idle_(idle),
-          connection_(std::make_shared<caller_connection>(std::move(socket)))
+          connection_(std::make_shared<caller_socket>(std::move(socket)))
     {
     }
 
@@ -88,7 +88,7 @@
                 {503, call_fate::not_run, "stopping", stopping_retry_after});
         }
         auto const request = parser.release();
-        auto       call = Dialect::read_call(request.base());
+        auto       call = Dialect::parse_call(request.base());
         if (auto const* fault = std::get_if<call_fault>(&call))
         {
             co_return co_await refuse(bad_request(
@@ -212,9 +212,9 @@
                           : connection_disposition::aborted;
     }
 
-    entry_state&                       state_;
-    idle_links&                        idle_;
-    std::shared_ptr<caller_connection> connection_;
+    entry_state&                   state_;
+    idle_connections&              idle_;
+    std::shared_ptr<caller_socket> connection_;
 };
 
 } // namespace marigoldcrank
--- a/src/serving/caller_link.cpp
+++ b/src/serving/caller_socket.cpp
@@ -1,5 +1,5 @@
 // Writes to callers, polls for their disconnect, and closes gracefully.
-#include "serving/caller_link.hpp"
+#include "serving/caller_socket.hpp"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -35,13 +35,13 @@
 
 } // namespace
 
-caller_connection::caller_connection(tcp::socket socket)
+caller_socket::caller_socket(tcp::socket socket)
     : stream_(std::move(socket)), check_timer_(stream_.get_executor())
 {
     set_tcp_options(stream_.socket(), tcp_options{});
 }
 
-asio::awaitable<bool> caller_connection::write(std::string_view bytes, loop_time until)
+asio::awaitable<bool> caller_socket::write(std::string_view bytes, loop_time until)
 {
     stream_.expires_at(until);
     error_code error;
@@ -54,26 +54,26 @@
     co_return !error;
 }
 
-void caller_connection::watch_disconnect(std::function<void()> on_disconnect)
+void caller_socket::watch_disconnect(std::function<void()> on_disconnect)
 {
     ++watch_number_;
     on_disconnect_ = std::move(on_disconnect);
     schedule_check();
 }
 
-void caller_connection::stop_watching()
+void caller_socket::stop_watching()
 {
     ++watch_number_;
     on_disconnect_ = nullptr;
     check_timer_.cancel();
 }
 
-bool caller_connection::disconnected() const noexcept
+bool caller_socket::disconnected() const noexcept
 {
     return disconnected_;
 }
 
-bool caller_connection::check_disconnected()
+bool caller_socket::check_disconnected()
 {
     if (!disconnected_ &&
         (!stream_.socket().is_open() || closed_by_peer(stream_.socket().native_handle())))
@@ -83,7 +83,7 @@
     return disconnected_;
 }
 
-void caller_connection::schedule_check()
+void caller_socket::schedule_check()
 {
     check_timer_.expires_after(check_interval);
     check_timer_.async_wait(
@@ -96,7 +96,7 @@
         });
 }
 
-void caller_connection::check()
+void caller_socket::check()
 {
     if (!check_disconnected())
     {
@@ -104,7 +104,7 @@
     }
 }
 
-void caller_connection::handle_disconnect()
+void caller_socket::handle_disconnect()
 {
     disconnected_ = true;
     if (auto const callback = std::exchange(on_disconnect_, nullptr))
@@ -113,14 +113,14 @@
     }
 }
 
-void caller_connection::abort()
+void caller_socket::abort()
 {
     error_code ignored; // the connection is dropped either way
     stream_.socket().set_option(asio::socket_base::linger(true, 0), ignored);
     stream_.socket().close(ignored);
 }
 
-asio::awaitable<void> caller_connection::close_gracefully()
+asio::awaitable<void> caller_socket::close_gracefully()
 {
     error_code error;
     stream_.socket().shutdown(tcp::socket::shutdown_send, error);
@@ -137,12 +137,12 @@
     stream_.socket().close(ignored);
 }
 
-boost::beast::tcp_stream& caller_connection::stream() noexcept
+boost::beast::tcp_stream& caller_socket::stream() noexcept
 {
     return stream_;
 }
 
-boost::beast::flat_buffer& caller_connection::buffer() noexcept
+boost::beast::flat_buffer& caller_socket::buffer() noexcept
 {
     return buffer_;
 }
--- a/src/serving/caller_link.hpp
+++ b/src/serving/caller_socket.hpp
@@ -1,8 +1,8 @@
 // A caller's connection: writes responses and detects that the caller has disconnected.
 //
-// Index: caller_connection
-#ifndef MARIGOLDCRANK_SERVING_CALLER_LINK_HPP
-#define MARIGOLDCRANK_SERVING_CALLER_LINK_HPP
+// Index: caller_socket
+#ifndef MARIGOLDCRANK_SERVING_CALLER_SOCKET_HPP
+#define MARIGOLDCRANK_SERVING_CALLER_SOCKET_HPP
 
 #include "serving/http_connection.hpp"
 
@@ -18,10 +18,10 @@
 {
 
 /// The connection is shared by its session and the call in progress.
-class caller_connection : public std::enable_shared_from_this<caller_connection>
+class caller_socket : public std::enable_shared_from_this<caller_socket>
 {
 public:
-    explicit caller_connection(boost::asio::ip::tcp::socket socket);
+    explicit caller_socket(boost::asio::ip::tcp::socket socket);
 
     /// Writes all bytes. Returns false if the caller has disconnected or hasn't taken
     /// them by `until`.
--- a/src/serving/connection_pool.cpp
+++ b/src/serving/connection_pool.cpp
@@ -19,7 +19,7 @@
                          *connection.idle_limit / 2);
     }
     limit = not_repeatable ? limit / 2 : limit;
-    return now - connection.last_used < limit && connection.quiet();
+    return now - connection.last_used < limit && connection.is_idle();
 }
 
 std::shared_ptr<http_connection> connection_pool::take(std::string const& server,
--- a/src/serving/entry_node.hpp
+++ b/src/serving/entry_node.hpp
@@ -316,7 +316,7 @@
     rules_follower<shared_store<Store>, Codec>   rules_;
     servers_follower<shared_store<Store>, Codec> servers_;
     duty_worker<shared_store<Store>, Duties>     worker_;
-    idle_links                                   idle_;
+    idle_connections                             idle_;
     boost::asio::signal_set                      signals_;
     boot_clock::time_point                       tallied_at_{};
     boot_clock::time_point                       planned_at_{}; // the last relay plan
--- a/src/serving/handle_release.cpp
+++ b/src/serving/handle_release.cpp
@@ -19,7 +19,7 @@
 {
     auto const until = loop_clock::now() + release_timeout;
     auto const opened = co_await link->connect(engine, until);
-    if (opened == link_step::ok)
+    if (opened == io_result::ok)
     {
         co_await link->send(request, until);
         co_await link->read_head(false, until);
--- a/src/serving/http_connection.cpp
+++ b/src/serving/http_connection.cpp
@@ -29,13 +29,13 @@
 
 constexpr std::size_t background_bytes = 4096; // longer bodies are sent in the background
 
-link_step io_result_of(error_code const& error)
+io_result io_result_of(error_code const& error)
 {
     if (!error)
     {
-        return link_step::ok;
+        return io_result::ok;
     }
-    return error == beast::error::timeout ? link_step::timed_out : link_step::broken;
+    return error == beast::error::timeout ? io_result::timed_out : io_result::broken;
 }
 
 template <class Value>
@@ -64,14 +64,14 @@
 
 // 2. Connect and send
 
-asio::awaitable<link_step> http_connection::connect(socket_address const& address,
+asio::awaitable<io_result> http_connection::connect(socket_address const& address,
                                                     loop_time             until)
 {
     error_code error;
     auto const ip = asio::ip::make_address(address.host, error);
     if (error)
     {
-        co_return link_step::broken;
+        co_return io_result::broken;
     }
     tcp::endpoint const endpoint{ip, address.port};
     stream_.expires_at(until);
@@ -84,7 +84,7 @@
     co_return io_result_of(error);
 }
 
-asio::awaitable<link_step> http_connection::send(http_request request, loop_time until)
+asio::awaitable<io_result> http_connection::send(http_request request, loop_time until)
 {
     stream_.expires_at(until);
     complete_ = false;
@@ -107,12 +107,12 @@
     };
     asio::co_spawn(stream_.get_executor(), write(shared_from_this(), std::move(request)),
                    asio::detached);
-    co_return link_step::ok;
+    co_return io_result::ok;
 }
 
 // 3. Reading
 
-asio::awaitable<link_step> http_connection::read_head(bool head_only, loop_time until)
+asio::awaitable<io_result> http_connection::read_head(bool head_only, loop_time until)
 {
     constexpr unsigned informational = 200;
     complete_ = false;
@@ -132,24 +132,24 @@
                 http::make_error_code(http::error::end_of_stream).category();
             bool const ended = error == http::error::end_of_stream ||
                                error == http::error::partial_message;
-            co_return ours && !ended ? link_step::malformed : io_result_of(error);
+            co_return ours && !ended ? io_result::malformed : io_result_of(error);
         }
     } while (parser_->get().result_int() < informational);
     complete_ = parser_->is_done();
-    co_return link_step::ok;
+    co_return io_result::ok;
 }
 
-answer_head const& http_connection::head() const
+response_head const& http_connection::head() const
 {
     return parser_->get().base();
 }
 
-asio::awaitable<body_step> http_connection::read_body(std::string& out, loop_time until)
+asio::awaitable<body_result> http_connection::read_body(std::string& out, loop_time until)
 {
     if (parser_->is_done())
     {
         complete_ = true;
-        co_return body_step::whole;
+        co_return body_result::complete;
     }
     std::array<char, body_chunk_size> chunk;
     auto&                             body = parser_->get().body();
@@ -164,11 +164,11 @@
     body.data = nullptr;
     if (error && error != http::error::need_buffer)
     {
-        co_return error == beast::error::timeout ? body_step::timed_out
-                                                 : body_step::broken;
+        co_return error == beast::error::timeout ? body_result::timed_out
+                                                 : body_result::broken;
     }
     complete_ = parser_->is_done();
-    co_return complete_ ? body_step::whole : body_step::more;
+    co_return complete_ ? body_result::complete : body_result::more;
 }
 
 // 4. State
@@ -180,7 +180,7 @@
            stream_.socket().is_open();
 }
 
-bool http_connection::quiet() const
+bool http_connection::is_idle() const
 {
     if (!stream_.socket().is_open())
     {
--- a/src/serving/http_connection.hpp
+++ b/src/serving/http_connection.hpp
@@ -1,6 +1,6 @@
 // An HTTP/1.1 client connection to a backend server or to the platform, for coroutines.
 //
-// Index: 1 link_step, 2 body_step, 3 tcp_options, 4 http_connection
+// Index: 1 io_result, 2 body_result, 3 tcp_options, 4 http_connection
 #ifndef MARIGOLDCRANK_SERVING_HTTP_CONNECTION_HPP
 #define MARIGOLDCRANK_SERVING_HTTP_CONNECTION_HPP
 
@@ -26,7 +26,7 @@
 using loop_time = loop_clock::time_point;
 
 /// Result of a connect, a send, or the reading of a head.
-enum class link_step
+enum class io_result
 {
     ok,
     timed_out,
@@ -35,10 +35,10 @@
 };
 
 /// Result of reading a part of a body.
-enum class body_step
+enum class body_result
 {
     more,
-    whole,
+    complete,
     broken,
     timed_out
 };
@@ -68,27 +68,27 @@
 public:
     explicit http_connection(boost::asio::any_io_executor executor);
 
-    boost::asio::awaitable<link_step> connect(socket_address const& address,
+    boost::asio::awaitable<io_result> connect(socket_address const& address,
                                               loop_time             until);
 
     /// Sends a request. A long body is written in the background, since a server may
     /// respond before it has read the body, or without reading all of it.
-    boost::asio::awaitable<link_step> send(http_request request, loop_time until);
+    boost::asio::awaitable<io_result> send(http_request request, loop_time until);
 
     /// Reads the head of the next response, and skips informational (1xx) ones.
-    boost::asio::awaitable<link_step> read_head(bool head_only, loop_time until);
+    boost::asio::awaitable<io_result> read_head(bool head_only, loop_time until);
 
-    answer_head const& head() const;
+    response_head const& head() const;
 
     /// Waits for the next bytes of the body and appends them to `out`.
-    boost::asio::awaitable<body_step> read_body(std::string& out, loop_time until);
+    boost::asio::awaitable<body_result> read_body(std::string& out, loop_time until);
 
     /// Whether another request may follow: request sent, response complete, no bytes
     /// after it.
     bool reusable() const;
 
     /// Returns false if the peer has closed, or if unexpected bytes wait to be read.
-    bool quiet() const;
+    bool is_idle() const;
 
     void close();
 
--- a/src/serving/http_rules.cpp
+++ b/src/serving/http_rules.cpp
@@ -83,7 +83,7 @@
                        { return boost::beast::iequals(each, name); });
 }
 
-bool named_by_connection(http::fields const& fields, std::string_view name)
+bool listed_in_connection(http::fields const& fields, std::string_view name)
 {
     auto const [first, last] = fields.equal_range(http::field::connection);
     return std::any_of(first, last,
--- a/src/serving/http_rules.hpp
+++ b/src/serving/http_rules.hpp
@@ -41,7 +41,8 @@
 bool is_hop_by_hop(std::string_view name);
 
 /// True if a Connection field lists `name`.
-bool named_by_connection(boost::beast::http::fields const& fields, std::string_view name);
+bool listed_in_connection(boost::beast::http::fields const& fields,
+                          std::string_view                  name);
 
 /// The host in lower case, without its port.
 std::string bare_host(std::string_view host);
@@ -58,7 +59,7 @@
         auto const             text = field.name_string();
         std::string_view const name{text.data(), text.size()};
         bool const             stays =
-            is_hop_by_hop(name) || (!kept(name) && named_by_connection(from, name));
+            is_hop_by_hop(name) || (!kept(name) && listed_in_connection(from, name));
         if (!stays)
         {
             to.insert(field.name(), text, field.value());
--- a/src/serving/model_placing.cpp
+++ b/src/serving/model_placement.cpp
@@ -1,5 +1,5 @@
 // Choice of engines, deadlines and measured times of model calls.
-#include "serving/model_placing.hpp"
+#include "serving/model_placement.hpp"
 
 #include "policy/wait_limit.hpp"
 
--- a/src/serving/model_placing.hpp
+++ b/src/serving/model_placement.hpp
@@ -1,8 +1,8 @@
 // Chooses engines for one model call: applies src/policy to the current state of this VM.
 //
 // Index: model_placement
-#ifndef MARIGOLDCRANK_SERVING_MODEL_PLACING_HPP
-#define MARIGOLDCRANK_SERVING_MODEL_PLACING_HPP
+#ifndef MARIGOLDCRANK_SERVING_MODEL_PLACEMENT_HPP
+#define MARIGOLDCRANK_SERVING_MODEL_PLACEMENT_HPP
 
 #include "serving/call_admission.hpp"
 
--- a/src/serving/own_reply.cpp
+++ b/src/serving/own_response.cpp
@@ -1,5 +1,5 @@
 // Formatting of responses to callers.
-#include "serving/own_reply.hpp"
+#include "serving/own_response.hpp"
 
 #include "serving/http_rules.hpp"
 
@@ -18,9 +18,9 @@
 {
 
 /// Status and end-to-end fields of a server's response, without its framing.
-answer_head relayed_head(answer_head const& from, bool close)
+response_head relayed_head(response_head const& from, bool close)
 {
-    answer_head head;
+    response_head head;
     head.version(11);
     head.result(from.result_int());
     head.reason(from.reason());
@@ -33,7 +33,7 @@
     return head;
 }
 
-std::string to_text(answer_head const& head)
+std::string to_text(response_head const& head)
 {
     std::string out = "HTTP/1.1 " + std::to_string(head.result_int()) + " ";
     out += head.reason();
@@ -75,8 +75,8 @@
     return out + body;
 }
 
-std::string format_response(answer_head const& head, std::string const& body, bool close,
-                            bool head_only)
+std::string format_response(response_head const& head, std::string const& body,
+                            bool close, bool head_only)
 {
     auto result = relayed_head(head, close);
     if (head_only)
@@ -93,7 +93,7 @@
     return to_text(result) + body;
 }
 
-std::string format_stream_head(answer_head const& head, bool close, bool chunked)
+std::string format_stream_head(response_head const& head, bool close, bool chunked)
 {
     auto result = relayed_head(head, close || !chunked);
     if (chunked)
--- a/src/serving/own_reply.hpp
+++ b/src/serving/own_response.hpp
@@ -1,8 +1,8 @@
 // Formats responses to callers: refusals and failures of this VM, and relayed ones.
 //
 // Index: 1 own_response, 2 format functions
-#ifndef MARIGOLDCRANK_SERVING_OWN_REPLY_HPP
-#define MARIGOLDCRANK_SERVING_OWN_REPLY_HPP
+#ifndef MARIGOLDCRANK_SERVING_OWN_RESPONSE_HPP
+#define MARIGOLDCRANK_SERVING_OWN_RESPONSE_HPP
 
 #include "domain/boot_clock.hpp"
 #include "domain/failure.hpp"
@@ -30,12 +30,12 @@
 std::string format_own_response(own_response const& reply, bool close);
 
 /// A server's response as bytes, with end-to-end fields only and a new Content-Length.
-std::string format_response(answer_head const& head, std::string const& body, bool close,
-                            bool head_only);
+std::string format_response(response_head const& head, std::string const& body,
+                            bool close, bool head_only);
 
 /// The head of a stream. Its events follow in chunks, or until the connection closes for
 /// a caller without support for chunked coding.
-std::string format_stream_head(answer_head const& head, bool close, bool chunked);
+std::string format_stream_head(response_head const& head, bool close, bool chunked);
 
 /// One chunk of a chunked body.
 std::string format_chunk(std::string_view bytes);
--- a/src/serving/peer_exchange.cpp
+++ b/src/serving/peer_exchange.cpp
@@ -100,7 +100,7 @@
         extras.prefixes = prefixes_for(digest.scope, prefix_updates);
         extras.avoided = state_.health.updates(widest_source(digest.scope), now);
         extras.heard = digest.scope == digest_scope::fleet && quotas_
-                           ? quotas_->homes_heard(now)
+                           ? quotas_->live_owners(now)
                            : std::vector<std::string>{};
         digests_.publish(digest, extras);
     }
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -169,7 +169,7 @@
                   [&](auto const& each) { return !known(each.first); });
 }
 
-std::vector<std::string> quota_gate::homes_heard(boot_clock::time_point now) const
+std::vector<std::string> quota_gate::live_owners(boot_clock::time_point now) const
 {
     std::vector<std::string> result;
     std::copy_if(owners_.begin(), owners_.end(), std::back_inserter(result),
--- a/src/serving/quota_gate.hpp
+++ b/src/serving/quota_gate.hpp
@@ -11,7 +11,7 @@
 #include "policy/quota_owner.hpp"
 #include "policy/quota_queries.hpp"
 #include "serving/entry_state.hpp"
-#include "serving/own_reply.hpp"
+#include "serving/own_response.hpp"
 
 #include <boost/asio/awaitable.hpp>
 
@@ -61,7 +61,7 @@
     void follow(std::vector<std::string> const& owners);
 
     /// The possible owners whose digests this VM has received lately.
-    std::vector<std::string> homes_heard(boot_clock::time_point now) const;
+    std::vector<std::string> live_owners(boot_clock::time_point now) const;
 
     /// Fills `hold`, or returns a refusal as not run, with the time after which units
     /// will be available. Takes up to three reply timeouts if VMs don't reply, and after
--- a/src/serving/server_exchange.hpp
+++ b/src/serving/server_exchange.hpp
@@ -61,7 +61,7 @@
         }
         auto const sent =
             co_await connection_->send(std::move(request.message), request.until);
-        if (sent != link_step::ok)
+        if (sent != io_result::ok)
         {
             fault_ = "send";
             co_return attempt_outcome::unknown;
@@ -69,14 +69,14 @@
         for (int responses = 0; responses < max_stray_responses; ++responses)
         {
             auto const read = co_await connection_->read_head(head_only, request.until);
-            if (read != link_step::ok)
+            if (read != io_result::ok)
             {
-                fault_ = read == link_step::timed_out   ? "timeout"
-                         : read == link_step::malformed ? "malformed"
+                fault_ = read == io_result::timed_out   ? "timeout"
+                         : read == io_result::malformed ? "malformed"
                                                         : "broken";
                 co_return attempt_outcome::unknown;
             }
-            facts_ = Dialect::read_answer(connection_->head());
+            facts_ = Dialect::parse_response(connection_->head());
             if (facts_.call_id.empty() || facts_.call_id == request.call_id)
             {
                 co_return evaluate_head();
@@ -95,12 +95,12 @@
         co_return attempt_outcome::unknown;
     }
 
-    answer_facts const& facts() const noexcept
+    response_facts const& facts() const noexcept
     {
         return facts_;
     }
 
-    answer_head const& head() const
+    response_head const& head() const
     {
         return connection_->head();
     }
@@ -111,7 +111,7 @@
         return fault_;
     }
 
-    boost::asio::awaitable<body_step> read_body(std::string& out, loop_time until)
+    boost::asio::awaitable<body_result> read_body(std::string& out, loop_time until)
     {
         return connection_->read_body(out, until);
     }
@@ -119,12 +119,12 @@
     /// Reads the rest of the body. Returns false if it is incomplete or too long.
     boost::asio::awaitable<bool> read_complete_body(std::string& out, loop_time until)
     {
-        auto step = body_step::more;
-        while (step == body_step::more && out.size() <= max_body_size)
+        auto step = body_result::more;
+        while (step == body_result::more && out.size() <= max_body_size)
         {
             step = co_await connection_->read_body(out, until);
         }
-        co_return step == body_step::whole;
+        co_return step == body_result::complete;
     }
 
     /// Closes the connection, which aborts the operation in progress and makes the server
@@ -159,7 +159,7 @@
         socket_address const address{server_.host,
                                      static_cast<std::uint16_t>(server_.port)};
         auto const           step = co_await connection_->connect(address, until);
-        if (step != link_step::ok)
+        if (step != io_result::ok)
         {
             fault_ = "connect";
             state_.health.failed(server_.id, true, boot_clock::now());
@@ -183,7 +183,7 @@
             facts_.status >= first_success && facts_.status < first_redirect;
         // A success is valid only if the server signed it and the body is the server's
         // own bytes.
-        if ((success && !facts_.signed_whole && !internal_) || facts_.encoded)
+        if ((success && !facts_.is_signed && !internal_) || facts_.encoded)
         {
             fault_ = "unsigned";
             return attempt_outcome::unknown;
@@ -219,7 +219,7 @@
     entry_state&                     state_;
     backend_server                   server_;
     std::shared_ptr<http_connection> connection_;
-    answer_facts                     facts_;
+    response_facts                   facts_;
     char const*                      fault_ = "";
     bool                             stray_ = false;
     bool                             internal_ = false;
--- a/src/serving/stream_relay.cpp
+++ b/src/serving/stream_relay.cpp
@@ -1,7 +1,7 @@
 // Framing of streams to callers.
 #include "serving/stream_relay.hpp"
 
-#include "serving/own_reply.hpp"
+#include "serving/own_response.hpp"
 
 namespace marigoldcrank
 {
@@ -13,7 +13,7 @@
     splitter_ = event_splitter{};
 }
 
-std::string stream_relay::take(answer_head const& head, std::string_view bytes,
+std::string stream_relay::take(response_head const& head, std::string_view bytes,
                                bool complete)
 {
     auto events = splitter_.feed(bytes);
--- a/src/serving/stream_relay.hpp
+++ b/src/serving/stream_relay.hpp
@@ -30,7 +30,7 @@
 
     /// Takes bytes of the server's body; `complete` if it ends with them. Returns the
     /// bytes to send to the caller now.
-    std::string take(answer_head const& head, std::string_view bytes, bool complete);
+    std::string take(response_head const& head, std::string_view bytes, bool complete);
 
     /// Whether the head has been returned; the status can't change from then on.
     bool started() const noexcept;
--- a/src/serving/stream_pace.hpp
+++ b/src/serving/stream_timing.hpp
@@ -1,8 +1,8 @@
 // Measures the timing of a stream: time to the first event, and longest pause after it.
 //
 // Index: stream_timing
-#ifndef MARIGOLDCRANK_SERVING_STREAM_PACE_HPP
-#define MARIGOLDCRANK_SERVING_STREAM_PACE_HPP
+#ifndef MARIGOLDCRANK_SERVING_STREAM_TIMING_HPP
+#define MARIGOLDCRANK_SERVING_STREAM_TIMING_HPP
 
 #include "domain/boot_clock.hpp"
 #include "domain/serving_rules.hpp"
--- a/src/serving/wire_dialect.hpp
+++ b/src/serving/wire_dialect.hpp
@@ -1,6 +1,6 @@
 // The interface between the serving path and an adapter that knows the names on the wire.
 //
-// Index: 1 messages, 2 call_fault, 3 onward_call, 4 answer_facts, 5 wire_dialect
+// Index: 1 messages, 2 call_fault, 3 attempt_options, 4 response_facts, 5 wire_dialect
 #ifndef MARIGOLDCRANK_SERVING_WIRE_DIALECT_HPP
 #define MARIGOLDCRANK_SERVING_WIRE_DIALECT_HPP
 
@@ -21,7 +21,7 @@
 
 using http_request = boost::beast::http::request<boost::beast::http::string_body>;
 using request_head = boost::beast::http::request_header<>;
-using answer_head = boost::beast::http::response_header<>;
+using response_head = boost::beast::http::response_header<>;
 
 /// Why a caller's request is invalid.
 enum class call_fault
@@ -31,7 +31,7 @@
 };
 
 /// What an attempt at a backend server adds to the caller's request.
-struct onward_call
+struct attempt_options
 {
     std::string  server_id; // any other server refuses the request
     std::string  workspace; // empty: the call has no valid key and needs none
@@ -42,43 +42,43 @@
     std::string  fetch_from;   // ADDRESS of an engine with parts cached; empty: none
     std::string  resume_after; // id of the last event received; empty: from the start
 
-    bool operator==(onward_call const&) const = default;
+    bool operator==(attempt_options const&) const = default;
 };
 
 /// What a response head says about the server and the state of the call.
-struct answer_facts
+struct response_facts
 {
     unsigned    status = 0;
     std::string call_id;              // of the call it belongs to
-    bool        signed_whole = false; // has a server's signature
+    bool        is_signed = false;    // has a server's signature
     bool        not_run = false;      // the server states that it did not run the call
     bool        closes = false;       // the connection closes after this response
     bool        encoded = false;      // the body is encoded: not the server's own bytes
     std::optional<millis> idle_limit; // the server's timeout of idle connections
 
-    bool operator==(answer_facts const&) const = default;
+    bool operator==(response_facts const&) const = default;
 };
 
 /// Pure translation between the names on the wire and the types above.
 template <class Dialect>
-concept wire_dialect = requires(request_head const& head, answer_head const& answer,
-                                http_request const& request, onward_call const& onward,
-                                std::string const& text)
+concept wire_dialect = requires(request_head const& head, response_head const& answer,
+                                http_request const&    request,
+                                attempt_options const& onward, std::string const& text)
 {
     {
-        Dialect::read_call(head)
+        Dialect::parse_call(head)
         } -> std::same_as<std::variant<caller_call, call_fault>>;
     {
-        Dialect::build_onward(request, onward)
+        Dialect::build_attempt_request(request, onward)
         } -> std::same_as<http_request>;
     {
-        Dialect::read_answer(answer)
-        } -> std::same_as<answer_facts>;
+        Dialect::parse_response(answer)
+        } -> std::same_as<response_facts>;
     {
-        Dialect::read_handle(text)
+        Dialect::parse_handle(text)
         } -> std::same_as<std::optional<std::string>>;
     {
-        Dialect::build_release(text, text)
+        Dialect::build_release_request(text, text)
         } -> std::same_as<http_request>;
 };
 
--- a/tests/property/attempt_history_property_test.cpp
+++ b/tests/property/attempt_history_property_test.cpp
@@ -83,9 +83,9 @@
 
 // 2. stream_relay
 
-answer_head any_head()
+response_head any_head()
 {
-    answer_head head;
+    response_head head;
     head.result(200U);
     return head;
 }
--- a/tests/property/platform_decoders_property_test.cpp
+++ b/tests/property/platform_decoders_property_test.cpp
@@ -41,7 +41,7 @@
     static_cast<void>(decode_keyed(bytes, 5));
     static_cast<void>(decode_page(bytes));
     static_cast<void>(decode_end(bytes));
-    static_cast<void>(platform_dialect::read_handle(bytes));
+    static_cast<void>(platform_dialect::parse_handle(bytes));
 }
 
 // 2. Damaged documents
@@ -212,9 +212,10 @@
     request.set("Connection", "Request-Id, X-Hop");
     request.set("X-Hop", "1");
     request.set("Request-Id", "r");
-    auto const call = platform_dialect::read_call(request.base());
+    auto const call = platform_dialect::parse_call(request.base());
     RC_ASSERT(std::get<caller_call>(call).key == key);
-    auto const onward = platform_dialect::build_onward(request, {.server_id = "i"});
+    auto const onward =
+        platform_dialect::build_attempt_request(request, {.server_id = "i"});
     for (auto const& field : onward.base())
     {
         RC_ASSERT(field.value().find(key) == boost::beast::string_view::npos);
@@ -230,10 +231,10 @@
     head.set("Request-Id", "r");
     head.set("Keep-Alive", "timeout=7, max=3");
     head.set("Connection", "close");
-    auto const facts = platform_dialect::read_answer(head);
+    auto const facts = platform_dialect::parse_response(head);
     EXPECT_TRUE(facts.not_run);
     EXPECT_TRUE(facts.closes);
-    EXPECT_FALSE(facts.signed_whole);
+    EXPECT_FALSE(facts.is_signed);
     EXPECT_EQ(facts.call_id, "r");
     EXPECT_EQ(facts.idle_limit, millis{7000});
 }
