--- a/src/domain/serving_rules.cpp
+++ b/src/domain/serving_rules.cpp
@@ -124,7 +124,7 @@
            keyed_ == other.keyed_ && limits_ == other.limits_;
 }
 
-route_target const* pick_target(route const& value, std::uint64_t ticket)
+route_target const* pick_target(route const& value, std::uint64_t tie_break)
 {
     std::uint64_t sum = 0;
     for (auto const& target : value.targets)
@@ -135,7 +135,7 @@
     {
         return value.targets.empty() ? nullptr : &value.targets.front();
     }
-    auto left = ticket % sum;
+    auto left = tie_break % sum;
     for (auto const& target : value.targets)
     {
         auto const weight =
--- a/src/domain/serving_rules.hpp
+++ b/src/domain/serving_rules.hpp
@@ -161,7 +161,7 @@
 };
 
 /// The branch of a split that `ticket` falls on; tickets spread evenly give the weights.
-route_target const* pick_target(route const& value, std::uint64_t ticket);
+route_target const* pick_target(route const& value, std::uint64_t tie_break);
 
 } // namespace marigoldcrank
 
--- a/src/serving/call_admission.cpp
+++ b/src/serving/call_admission.cpp
@@ -57,7 +57,7 @@
 {
     bool const fresh = state.keys_fresh(arrived);
     admitted.rules = state.view.rules;
-    admitted.content = content_of(call, body);
+    admitted.content = content_hash(call, body);
     if (!admitted.rules)
     {
         return own_response{503, call_fate::not_run, "no_rules", refusal_retry_after};
@@ -82,7 +82,7 @@
     bool const  ranked =
         admitted.caller_workspace != nullptr && admitted.caller_workspace->rank >= 0;
     admitted.deadline = deadline_of(call, matched);
-    admitted.service_name = pick_target(matched, state.ticket())->service;
+    admitted.service_name = pick_target(matched, state.tie_break())->service;
     admitted.target = admitted.rules->find_service(admitted.service_name);
     admitted.rank = ranked ? admitted.caller_workspace->rank : matched.rank;
     admitted.repeatable = matched.kind == call_kind::idempotent ||
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -50,7 +50,7 @@
     /// Serves the call and sends its final response, unless the caller has disconnected.
     boost::asio::awaitable<connection_disposition> run()
     {
-        ++state_.calls_in_work;
+        ++state_.active_calls;
         auto refusal = admit_call(state_, call_, request_.body(), arrived_, admitted_);
         if (!refusal && has_quota())
         {
@@ -74,7 +74,7 @@
             }
             caller_.stop_watching();
         }
-        --state_.calls_in_work;
+        --state_.active_calls;
         if (quota_hold_.units > 0 && !attempts_.history().may_have_run() &&
             state_.quotas != nullptr)
         {
@@ -131,7 +131,7 @@
         {
             auto const  candidates = attempts_.servers_to_try();
             auto const* server =
-                place_plain(candidates, state_.settings.data_centre, state_.ticket());
+                place_plain(candidates, state_.settings.data_centre, state_.tie_break());
             if (server == nullptr || !attempts_.may_start_attempt())
             {
                 co_return co_await end_without_server();
@@ -581,7 +581,7 @@
         if (admitted_.caller_workspace != nullptr && !usage_counted_)
         {
             usage_counted_ = true;
-            state_.usage.add(admitted_.caller_workspace->name, state_.day_ms());
+            state_.usage.add(admitted_.caller_workspace->name, state_.unix_ms());
         }
     }
 
--- a/src/serving/digest_link.cpp
+++ b/src/serving/digest_link.cpp
@@ -218,7 +218,7 @@
                       }
                       return gone;
                   });
-    drain();
+    receive_pending();
 }
 
 void digest_link::publish(load_digest const& digest, digest_extras const& extras)
@@ -231,9 +231,9 @@
     static_cast<void>(socket.send(zmq::buffer(bytes), zmq::send_flags::dontwait));
 }
 
-void digest_link::drain()
+void digest_link::receive_pending()
 {
-    state_->subscriber.drain();
+    state_->subscriber.receive_pending();
 }
 
 } // namespace marigoldcrank
--- a/src/serving/digest_link.hpp
+++ b/src/serving/digest_link.hpp
@@ -60,7 +60,7 @@
 
     /// Handles all digests that have arrived. The owner also calls this regularly, since
     /// the socket's descriptor signals state changes only, not every message.
-    void drain();
+    void receive_pending();
 
 private:
     struct state;
--- a/src/serving/duty_worker.hpp
+++ b/src/serving/duty_worker.hpp
@@ -52,7 +52,7 @@
             auto const pause = state_.reads_via_peers && !state_.is_first_relay
                                    ? times_.member_usage_delay
                                    : times_.usage_delay;
-            auto const past = state_.usage.window_of(state_.day_ms() - pause.count());
+            auto const past = state_.usage.window_of(state_.unix_ms() - pause.count());
             auto const now = boot_clock::now();
             bool const often = log_.held_until(now) || state_.serves_peers ||
                                now - started < times_.discovery;
@@ -121,7 +121,7 @@
 private:
     std::int64_t current_window() const
     {
-        return state_.usage.window_of(state_.day_ms());
+        return state_.usage.window_of(state_.unix_ms());
     }
 
     boost::asio::awaitable<void> append_usage(std::int64_t before)
@@ -428,7 +428,7 @@
     {
         std::vector<duty_record> seals;
         auto const               length = state_.settings.usage_window.count();
-        auto const               now = state_.day_ms();
+        auto const               now = state_.unix_ms();
         auto const               last = (now - times_.seal.count()) / length - 1;
         auto const               first = (now - times_.max_seal_age.count()) / length;
         if (!usage_read_ || !usage_complete_)
@@ -513,7 +513,7 @@
     void advance_reported()
     {
         auto const length = state_.settings.usage_window.count();
-        auto const oldest = (state_.day_ms() - times_.max_seal_age.count()) / length;
+        auto const oldest = (state_.unix_ms() - times_.max_seal_age.count()) / length;
         while (!reported_windows_.empty())
         {
             auto const next = *reported_windows_.begin();
--- a/src/serving/entry_node.hpp
+++ b/src/serving/entry_node.hpp
@@ -257,20 +257,20 @@
     {
         auto const began = boot_clock::now();
         state_.draining = true;
-        state_.log.write(event_line{"stop"}.add("calls", state_.calls_in_work), began);
+        state_.log.write(event_line{"stop"}.add("calls", state_.active_calls), began);
         co_await loop_sleep(state_.settings.drain_notice);
         state_.closed = true;
         close_idle_links();
         auto const limit = state_.settings.grace - drain_reserve;
         while (boot_clock::now() - began < limit &&
-               (state_.calls_in_work > 0 || !idle_.empty()))
+               (state_.active_calls > 0 || !idle_.empty()))
         {
             close_idle_links();
             co_await loop_sleep(drain_poll);
         }
         co_await append_usage_until(began + state_.settings.grace - exit_reserve);
         state_.log.write(event_line{"stopped"}
-                             .add("calls", state_.calls_in_work)
+                             .add("calls", state_.active_calls)
                              .add("took_ms", boot_clock::now() - began),
                          boot_clock::now());
     }
--- a/src/serving/entry_state.cpp
+++ b/src/serving/entry_state.cpp
@@ -91,7 +91,7 @@
     return result;
 }
 
-std::int64_t entry_state::servers_of(std::string const& service) const
+std::int64_t entry_state::staying_servers(std::string const& service) const
 {
     auto const& all = servers.servers();
     return std::count_if(all.begin(), all.end(),
@@ -111,8 +111,7 @@
     return known_vms > settings.mesh;
 }
 
-bool entry_state::heard_lately(std::string const&     records,
-                               boot_clock::time_point now) const
+bool entry_state::is_live(std::string const& records, boot_clock::time_point now) const
 {
     auto const found = last_heard.find(records);
     return records == contact.records ||
@@ -137,7 +136,7 @@
 
 std::vector<usage_record> entry_state::recent_usage()
 {
-    return usage.recent(usage.window_of(day_ms()));
+    return usage.recent(usage.window_of(unix_ms()));
 }
 
 work_demand entry_state::demand(std::string const& service, boot_clock::time_point now)
@@ -160,12 +159,12 @@
     return budget;
 }
 
-std::int64_t entry_state::day_ms()
+std::int64_t entry_state::unix_ms()
 {
     return day.read(boot_clock::now(), static_cast<std::int64_t>(unix_millis()));
 }
 
-std::string content_of(caller_call const& call, std::string const& body)
+std::string content_hash(caller_call const& call, std::string const& body)
 {
     constexpr std::size_t digits = 17;
     auto const            start = XXH3_64bits(call.target.data(), call.target.size());
@@ -177,12 +176,12 @@
     return text.data();
 }
 
-std::uint64_t entry_state::ticket()
+std::uint64_t entry_state::tie_break()
 {
     return random_();
 }
 
-placement_options entry_state::placing() const
+placement_options entry_state::placement_settings() const
 {
     placement_options options;
     options.fetch = settings.fetch;
--- a/src/serving/entry_state.hpp
+++ b/src/serving/entry_state.hpp
@@ -67,7 +67,7 @@
                                       boot_clock::time_point       now) const;
 
     /// Number of servers of `service` that are not leaving.
-    std::int64_t servers_of(std::string const& service) const;
+    std::int64_t staying_servers(std::string const& service) const;
 
     /// Whether digests go through relays, because the fleet is larger than the mesh.
     bool relays_used() const;
@@ -77,7 +77,7 @@
 
     /// Whether a digest shows that the VM that answers others at the address `records`
     /// was alive lately.
-    bool heard_lately(std::string const& records, boot_clock::time_point now) const;
+    bool is_live(std::string const& records, boot_clock::time_point now) const;
 
     /// Forgets VMs without a recent digest.
     void forget_silent_peers(boot_clock::time_point now);
@@ -95,13 +95,13 @@
     retry_budget& budget(std::string const& service);
 
     /// Random number for decisions that must differ between VMs, such as ties.
-    std::uint64_t ticket();
+    std::uint64_t tie_break();
 
     /// Options for the placement of model calls, from the settings.
-    placement_options placing() const;
+    placement_options placement_settings() const;
 
     /// Time in ms since 1970 that divides usage windows.
-    std::int64_t day_ms();
+    std::int64_t unix_ms();
 
     entry_settings                     settings;
     std::string                        incarnation;
@@ -133,7 +133,7 @@
     bool         holds_duties = false;
     bool         draining = false; // reports not ready, still serves
     bool         closed = false;   // accepts no new calls
-    std::int64_t calls_in_work = 0;
+    std::int64_t active_calls = 0;
 
 private:
     std::map<std::string, retry_budget> budgets_;
@@ -141,7 +141,7 @@
 };
 
 /// Hash that identifies a repeated call: the same path, caller and body.
-std::string content_of(caller_call const& call, std::string const& body);
+std::string content_hash(caller_call const& call, std::string const& body);
 
 /// Adds a call to the load of its server, and removes it on destruction.
 class load_share
--- a/src/serving/model_placement.cpp
+++ b/src/serving/model_placement.cpp
@@ -57,11 +57,11 @@
     if (needs_prefill() && allow_handoff)
     {
         return place_model(with_cached_tokens(candidates), call_, costs(), centre,
-                           state_.ticket(), state_.placing());
+                           state_.tie_break(), state_.placing());
     }
     auto const* server = needs_prefill()
                              ? choose_decode_engine(candidates)
-                             : place_plain(candidates, centre, state_.ticket());
+                             : place_plain(candidates, centre, state_.tie_break());
     if (server == nullptr)
     {
         return std::nullopt;
@@ -72,8 +72,8 @@
 backend_server const*
 model_placement::choose_decode_engine(std::vector<candidate> const& candidates)
 {
-    return place_decode(candidates, costs(), state_.settings.data_centre, state_.ticket(),
-                        state_.placing());
+    return place_decode(candidates, costs(), state_.settings.data_centre,
+                        state_.tie_break(), state_.placing());
 }
 
 std::optional<millis> model_placement::queue_retry_after(placement const& placed) const
--- a/src/serving/peer_exchange.cpp
+++ b/src/serving/peer_exchange.cpp
@@ -80,7 +80,7 @@
 
 void peer_exchange::publish_digests()
 {
-    digests_.drain();
+    digests_.receive_pending();
     auto const    now = boot_clock::now();
     digest_extras extras{.crashes = state_.crashes.updates(now),
                          .records = state_.contact.records};
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -96,7 +96,7 @@
                                  zmq::send_flags::dontwait | zmq::send_flags::sndmore));
         static_cast<void>(
             socket.socket().send(zmq::buffer(bytes), zmq::send_flags::dontwait));
-        socket.drain();
+        socket.receive_pending();
     }
 
     void take(std::vector<zmq::message_t>& parts)
@@ -128,8 +128,8 @@
                        entry_state& state, record_link& records)
     : state_(state), links_(std::make_unique<links>(loop, context))
 {
-    records.answer_others([this](std::string const& serialized)
-                          { return reply_to_vm(serialized); });
+    records.reply_to_others([this](std::string const& serialized)
+                            { return reply_to_vm(serialized); });
 }
 
 quota_gate::~quota_gate() = default;
@@ -173,7 +173,7 @@
 {
     std::vector<std::string> result;
     std::copy_if(owners_.begin(), owners_.end(), std::back_inserter(result),
-                 [&](std::string const& each) { return state_.heard_lately(each, now); });
+                 [&](std::string const& each) { return state_.is_live(each, now); });
     return result;
 }
 
@@ -188,7 +188,7 @@
     // A VM whose digests are missing may still reply, since digests come through relays.
     auto const unreachability = [&](std::string const& vm)
     {
-        return (silent(vm) ? 2 : 0) + (state_.heard_lately(vm, now) ? 0 : 1);
+        return (silent(vm) ? 2 : 0) + (state_.is_live(vm, now) ? 0 : 1);
     };
     constexpr int unreachable = 3; // no digests and no replies
     auto          owners = rank_owners(workspace, owners_);
@@ -336,8 +336,7 @@
     {
         view.listed = view.listed || each == own;
         bool const before = !view.listed && view.predecessor.empty() && each != ask.left;
-        view.predecessor =
-            before && state_.heard_lately(each, now) ? each : view.predecessor;
+        view.predecessor = before && state_.is_live(each, now) ? each : view.predecessor;
     }
     return home_.answer(ask, *caller_workspace->quota, view, now);
 }
--- a/src/serving/record_link.cpp
+++ b/src/serving/record_link.cpp
@@ -145,7 +145,7 @@
         auto const bytes = ask.SerializeAsString();
         static_cast<void>(
             relay.socket->socket().send(zmq::buffer(bytes), zmq::send_flags::dontwait));
-        relay.socket->drain();
+        relay.socket->receive_pending();
     }
 
     /// The relay's reply; nothing if it is silent.
@@ -275,7 +275,7 @@
         auto const now = boot_clock::now();
         std::erase_if(waiting, [&](waiting_query const& waiter)
                       { return reply_if_due(waiter, now); });
-        server.drain();
+        server.receive_pending();
     }
 
     asio::io_context&                                       loop;
@@ -331,7 +331,7 @@
     state_->serves = queried;
 }
 
-void record_link::answer_others(other_query_handler answer)
+void record_link::reply_to_others(other_query_handler answer)
 {
     state_->handle_other = std::move(answer);
 }
--- a/src/serving/record_link.hpp
+++ b/src/serving/record_link.hpp
@@ -65,7 +65,7 @@
     /// Handles queries of another kind that arrive at the same address. An empty reply
     /// isn't sent.
     using other_query_handler = std::function<std::string(std::string const& query)>;
-    void answer_others(other_query_handler answer);
+    void reply_to_others(other_query_handler answer);
 
     /// Whether there are relays, silent or not.
     bool has_relays() const;
--- a/src/serving/store_followers.hpp
+++ b/src/serving/store_followers.hpp
@@ -70,7 +70,7 @@
     {
     }
 
-    millis next(std::uint64_t ticket)
+    millis next(std::uint64_t tie_break)
     {
         auto const pause = next_;
         next_ = std::min(next_ * 2, options_.max_retry);
@@ -78,7 +78,7 @@
         // together don't retry together.
         return pause / 2 +
                millis{static_cast<std::int64_t>(
-                   ticket % static_cast<std::uint64_t>(pause.count() / 2 + 1))};
+                   tie_break % static_cast<std::uint64_t>(pause.count() / 2 + 1))};
     }
 
     void reset()
@@ -116,7 +116,7 @@
             }
             synced_ = synced_ && failure->fault != store_fault::trimmed;
             log_reachability(false, failure->fault);
-            co_await loop_sleep(backoff_.next(state_.ticket()));
+            co_await loop_sleep(backoff_.next(state_.tie_break()));
         }
     }
 
@@ -273,7 +273,7 @@
             {
                 synced_ = synced_ && failure->fault != store_fault::trimmed;
                 state_.servers.store_lost();
-                co_await loop_sleep(backoff_.next(state_.ticket()));
+                co_await loop_sleep(backoff_.next(state_.tie_break()));
                 continue;
             }
             state_.servers.store_answered(now);
--- a/src/serving/watched_socket.cpp
+++ b/src/serving/watched_socket.cpp
@@ -39,7 +39,7 @@
     readable_.release(); // the socket closes its descriptor
 }
 
-void watched_socket::drain()
+void watched_socket::receive_pending()
 {
     while (on_message_)
     {
@@ -63,7 +63,7 @@
                          {
                              if (!error)
                              {
-                                 drain();
+                                 receive_pending();
                                  wait_readable();
                              }
                          });
--- a/src/serving/watched_socket.hpp
+++ b/src/serving/watched_socket.hpp
@@ -38,7 +38,7 @@
 
     /// Handles all messages that have arrived. Must follow each send: the socket's
     /// descriptor signals state changes only, and a send may consume the signal.
-    void drain();
+    void receive_pending();
 
 private:
     void wait_readable();
