--- a/bench/entry_soak/entry_soak.cpp
+++ b/bench/entry_soak/entry_soak.cpp
@@ -6,7 +6,7 @@
 // the daemons' output is then kept in FOLDER/SEED-VM.log.
 //
 // Index: 1 soak_options, 2 play, 3 main
-#include "platform/support/entry_world.hpp"
+#include "platform/support/entry_cluster.hpp"
 #include "soak_callers.hpp"
 #include "soak_servers.hpp"
 #include "soak_troubles.hpp"
@@ -36,11 +36,11 @@
 constexpr int    recovery_ms = 20000;
 constexpr double served_after = 0.9;
 
-void check_reports(tests::entry_world const& world, soak_ledger& ledger)
+void check_reports(tests::entry_cluster const& world, soak_ledger& ledger)
 {
     std::vector<std::pair<std::uint64_t, std::string>> senders;
     std::vector<std::pair<std::int64_t, std::string>>  windows;
-    for (auto const& call : world.duty_calls())
+    for (auto const& call : world.duty_requests())
     {
         senders.emplace_back(call.token, call.holder);
         if (call.path == "/usage")
@@ -71,7 +71,7 @@
     }
 }
 
-void keep_logs(tests::entry_world const& world, std::string const& folder,
+void keep_logs(tests::entry_cluster const& world, std::string const& folder,
                std::uint64_t seed)
 {
     std::filesystem::create_directories(folder);
@@ -86,16 +86,16 @@
 /// True if every promise was kept.
 bool play(std::uint64_t seed, soak_options const& options)
 {
-    soak_ledger        ledger;
-    server_mood        mood;
-    tests::entry_world world({.daemons = vms,
-                              .servers = 3,
-                              .bounds = "usage_window_s = 2\nlease_ms = 1500\n"
-                                        "key_life_ms = 5000\ngrace_s = 8\n",
-                              .relayed = true});
+    soak_ledger          ledger;
+    server_mood          mood;
+    tests::entry_cluster world({.daemons = vms,
+                                .servers = 3,
+                                .bounds = "usage_window_s = 2\nlease_ms = 1500\n"
+                                          "key_life_ms = 5000\ngrace_s = 8\n",
+                                .relayed = true});
     for (int index = 0; index < 3; ++index)
     {
-        world.server(index).always(
+        world.server(index).handle_always(
             [&](tests::wire_request const& request, tests::wire_connection& connection)
             { return serve_soak(ledger, mood, request, connection); });
     }
--- a/bench/entry_soak/soak_callers.cpp
+++ b/bench/entry_soak/soak_callers.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-soak_callers::soak_callers(tests::entry_world& world, soak_ledger& ledger, int callers,
+soak_callers::soak_callers(tests::entry_cluster& world, soak_ledger& ledger, int callers,
                            std::uint64_t seed, std::function<bool(int)> planned_only)
     : world_(world), ledger_(ledger), planned_only_(std::move(planned_only))
 {
@@ -44,7 +44,7 @@
         if (!caller)
         {
             daemon = static_cast<int>(random() % daemons);
-            caller = std::make_unique<tests::raw_caller>(world_.callers_port(daemon));
+            caller = std::make_unique<tests::raw_caller>(world_.caller_port(daemon));
         }
         auto const id = std::to_string(seed) + "-" + std::to_string(number) + "-" +
                         std::to_string(call);
@@ -72,13 +72,13 @@
          .deadline_ms = deadline_ms}));
     auto const answer = caller.read(deadline_ms);
     ledger_.answered(id, answer);
-    bool const cut = answer.status != 0 && !answer.whole;
+    bool const cut = answer.status != 0 && !answer.complete;
     if (cut && planned_only_(daemon))
     {
         ledger_.cut_by_planned_work(id);
     }
     auto const closes = answer.fields.find("connection");
-    return answer.whole &&
+    return answer.complete &&
            (closes == answer.fields.end() || closes->second.find("close") != 0);
 }
 
--- a/bench/entry_soak/soak_callers.hpp
+++ b/bench/entry_soak/soak_callers.hpp
@@ -4,7 +4,7 @@
 #ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_CALLERS_HPP
 #define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_CALLERS_HPP
 
-#include "platform/support/entry_world.hpp"
+#include "platform/support/entry_cluster.hpp"
 #include "soak_ledger.hpp"
 
 #include <atomic>
@@ -20,7 +20,7 @@
 public:
     /// `planned_only(daemon)`: whether nothing but planned work has happened lately to
     /// this daemon, so that a call it has read may not be cut.
-    soak_callers(tests::entry_world& world, soak_ledger& ledger, int callers,
+    soak_callers(tests::entry_cluster& world, soak_ledger& ledger, int callers,
                  std::uint64_t seed, std::function<bool(int)> planned_only);
     ~soak_callers();
     soak_callers(soak_callers const&) = delete;
@@ -31,7 +31,7 @@
     bool call_once(tests::raw_caller& caller, int daemon, std::string const& id,
                    std::uint64_t draw);
 
-    tests::entry_world&      world_;
+    tests::entry_cluster&    world_;
     soak_ledger&             ledger_;
     std::function<bool(int)> planned_only_;
     std::atomic<bool>        stopping_{false};
--- a/bench/entry_soak/soak_ledger.cpp
+++ b/bench/entry_soak/soak_ledger.cpp
@@ -54,15 +54,15 @@
     ++asked_;
 }
 
-void soak_ledger::answered(std::string const& id, tests::raw_answer const& answer)
+void soak_ledger::answered(std::string const& id, tests::raw_response const& answer)
 {
     std::lock_guard const lock{mutex_};
     auto&                 call = calls_.at(id);
     ++statuses_[answer.status];
     bool const good = answer.status >= 200 && answer.status < 300;
-    served_ += good && answer.whole ? 1 : 0;
+    served_ += good && answer.complete ? 1 : 0;
     call.refused = call.refused || answer.status == 503 || answer.status == 429;
-    bool const torn = good && answer.whole && answer.body != body_of(id, call.kind);
+    bool const torn = good && answer.complete && answer.body != body_of(id, call.kind);
     if (torn)
     {
         violations_.push_back("not the whole answer to " + id + ": " + answer.body);
--- a/bench/entry_soak/soak_ledger.hpp
+++ b/bench/entry_soak/soak_ledger.hpp
@@ -40,7 +40,7 @@
     void asked(std::string const& id, call_class const& kind, std::string const& key);
 
     /// A caller has got an answer, or none (status 0).
-    void answered(std::string const& id, tests::raw_answer const& answer);
+    void answered(std::string const& id, tests::raw_response const& answer);
 
     /// A daemon that was asked to stop has ended a call it had read without an answer,
     /// while nothing but planned work was in progress.
--- a/bench/entry_soak/soak_servers.cpp
+++ b/bench/entry_soak/soak_servers.cpp
@@ -78,7 +78,7 @@
     auto const kind = class_of(request);
     if (mood.full)
     {
-        connection.send(server_standin::turned_away(request));
+        connection.send(server_standin::not_executed_response(request));
         return true;
     }
     ledger.ran(request);
@@ -92,7 +92,7 @@
         connection.reset();
         return false;
     }
-    connection.send(server_standin::served(request, body_of(id, kind)));
+    connection.send(server_standin::signed_response(request, body_of(id, kind)));
     return true;
 }
 
--- a/bench/entry_soak/soak_troubles.cpp
+++ b/bench/entry_soak/soak_troubles.cpp
@@ -23,15 +23,15 @@
 
 struct store_spoil
 {
-    char const*          name;
-    tests::store_trouble kind;
+    char const*             name;
+    tests::store_fault_kind kind;
 };
 
 constexpr std::array<store_spoil, 4> store_spoils{
-    {{"store-silent", tests::store_trouble::silent},
-     {"store-refuses", tests::store_trouble::refusing},
-     {"store-loses", tests::store_trouble::losing},
-     {"store-forgets", tests::store_trouble::forgetting}}};
+    {{"store-silent", tests::store_fault_kind::silent},
+     {"store-refuses", tests::store_fault_kind::refusing},
+     {"store-loses", tests::store_fault_kind::losing_responses},
+     {"store-forgets", tests::store_fault_kind::truncated}}};
 
 } // namespace
 
@@ -78,7 +78,7 @@
 
 } // namespace
 
-soak_troubles::soak_troubles(tests::entry_world& world, soak_ledger& ledger,
+soak_troubles::soak_troubles(tests::entry_cluster& world, soak_ledger& ledger,
                              server_mood& mood, std::uint64_t seed)
     : world_(world), ledger_(ledger), mood_(mood), random_(seed)
 {
@@ -225,12 +225,12 @@
     };
 }
 
-std::function<void()> soak_troubles::spoil_store(tests::store_trouble kind)
+std::function<void()> soak_troubles::spoil_store(tests::store_fault_kind kind)
 {
     world_.store().trouble(kind);
     return [this]
     {
-        world_.store().trouble(tests::store_trouble::none);
+        world_.store().trouble(tests::store_fault_kind::none);
     };
 }
 
--- a/bench/entry_soak/soak_troubles.hpp
+++ b/bench/entry_soak/soak_troubles.hpp
@@ -4,7 +4,7 @@
 #ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_TROUBLES_HPP
 #define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_TROUBLES_HPP
 
-#include "platform/support/entry_world.hpp"
+#include "platform/support/entry_cluster.hpp"
 #include "soak_ledger.hpp"
 #include "soak_servers.hpp"
 
@@ -24,7 +24,7 @@
 class soak_troubles
 {
 public:
-    soak_troubles(tests::entry_world& world, soak_ledger& ledger, server_mood& mood,
+    soak_troubles(tests::entry_cluster& world, soak_ledger& ledger, server_mood& mood,
                   std::uint64_t seed);
 
     /// Begins and ends troubles for so long, then ends them all.
@@ -49,12 +49,12 @@
     std::function<void()> stop_daemon();
     std::function<void()> kill_daemon();
     std::function<void()> pause_daemon();
-    std::function<void()> spoil_store(tests::store_trouble kind);
+    std::function<void()> spoil_store(tests::store_fault_kind kind);
     std::function<void()> withdraw_key();
     std::function<void()> set(std::atomic<bool>& mood);
     std::function<void()> spoil_relay(tests::tcp_relay& relay, relay_spoil const& spoil);
 
-    tests::entry_world&                                          world_;
+    tests::entry_cluster&                                        world_;
     soak_ledger&                                                 ledger_;
     server_mood&                                                 mood_;
     std::mt19937_64                                              random_;
--- a/tests/platform/answers_test.cpp
+++ b/tests/platform/answers_test.cpp
@@ -1,7 +1,7 @@
 // Responses of servers as callers receive them.
 //
 // Index: responses that are late, incomplete, unsigned, or failures
-#include "platform/support/entry_world.hpp"
+#include "platform/support/entry_cluster.hpp"
 #include "platform/support/raw_caller.hpp"
 
 #include <gtest/gtest.h>
@@ -20,24 +20,25 @@
 // The daemon must skip it by its id and relay the right one.
 TEST(platform_calls, late_answer_to_an_earlier_call_is_not_taken_for_the_next)
 {
-    entry_world world(one_server());
-    world.server(0).next(
+    entry_cluster world(one_server());
+    world.server(0).handle_next(
         [](wire_request const& request, wire_connection& connection)
         {
-            connection.send(server_standin::served(request, "first"));
+            connection.send(server_standin::signed_response(request, "first"));
             return true;
         });
-    EXPECT_EQ(ask(world.callers_port(), {.id = "a"}).body, "first");
-    world.server(0).next(
+    EXPECT_EQ(ask(world.caller_port(), {.id = "a"}).body, "first");
+    world.server(0).handle_next(
         [](wire_request const& request, wire_connection& connection)
         {
             wire_request earlier;
             earlier.fields.emplace("request-id", "a");
-            connection.send(server_standin::served(earlier, "late and of another call"));
-            connection.send(server_standin::served(request, "second"));
+            connection.send(
+                server_standin::signed_response(earlier, "late and of another call"));
+            connection.send(server_standin::signed_response(request, "second"));
             return true;
         });
-    auto const answer = ask(world.callers_port(), {.id = "b"});
+    auto const answer = ask(world.caller_port(), {.id = "b"});
     EXPECT_EQ(answer.status, 200);
     EXPECT_EQ(answer.body, "second");
 }
@@ -46,16 +47,16 @@
 // would read them as its response. The connection must not be reused.
 TEST(platform_calls, bytes_behind_an_answer_belong_to_no_call)
 {
-    entry_world world(one_server());
-    world.server(0).next(
+    entry_cluster world(one_server());
+    world.server(0).handle_next(
         [](wire_request const& request, wire_connection& connection)
         {
-            connection.send(server_standin::served(request, "one") +
+            connection.send(server_standin::signed_response(request, "one") +
                             "HTTP/1.1 200 OK\r\n");
             return true;
         });
-    EXPECT_EQ(ask(world.callers_port(), {.id = "a"}).body, "one");
-    EXPECT_EQ(ask(world.callers_port(), {.id = "b"}).body, "served by i-0");
+    EXPECT_EQ(ask(world.caller_port(), {.id = "a"}).body, "one");
+    EXPECT_EQ(ask(world.caller_port(), {.id = "b"}).body, "served by i-0");
     EXPECT_EQ(world.server(0).connections(), 2U);
 }
 
@@ -63,15 +64,16 @@
 // partial body with status 200, but a failure.
 TEST(platform_calls, torn_answer_is_never_passed_on_as_whole)
 {
-    entry_world world(one_server());
-    world.server(0).always(
+    entry_cluster world(one_server());
+    world.server(0).handle_always(
         [](wire_request const& request, wire_connection& connection)
         {
-            auto bytes = server_standin::served(request, "a body that should be whole");
+            auto bytes =
+                server_standin::signed_response(request, "a body that should be whole");
             connection.send(bytes.substr(0, bytes.size() - 5));
             return false;
         });
-    auto const answer = ask(world.callers_port(), {.path = "/once/x"});
+    auto const answer = ask(world.caller_port(), {.path = "/once/x"});
     EXPECT_EQ(answer.status, 502);
     EXPECT_EQ(answer.fields.count("instance-signature"), 0U);
 }
@@ -80,8 +82,8 @@
 // reset instead, the response is incomplete, and the caller must get a failure.
 TEST(platform_calls, answer_without_length_that_is_reset_is_not_whole)
 {
-    entry_world world(one_server());
-    world.server(0).always(
+    entry_cluster world(one_server());
+    world.server(0).handle_always(
         [](wire_request const& request, wire_connection& connection)
         {
             connection.send(
@@ -91,35 +93,36 @@
             connection.reset();
             return false;
         });
-    EXPECT_EQ(ask(world.callers_port(), {.path = "/once/x"}).status, 502);
+    EXPECT_EQ(ask(world.caller_port(), {.path = "/once/x"}).status, 502);
 }
 
 // A server responds with 200 but without its signature, so the body can't be trusted. The
 // caller must get a failure.
 TEST(platform_calls, success_without_signature_is_a_failure)
 {
-    entry_world world(one_server());
-    world.server(0).always(
+    entry_cluster world(one_server());
+    world.server(0).handle_always(
         [](wire_request const& request, wire_connection& connection)
         {
-            connection.send(wire_answer(
+            connection.send(wire_response(
                 200, "Request-Id: " + request.field("request-id") + "\r\n", "unsigned"));
             return true;
         });
-    EXPECT_EQ(ask(world.callers_port(), {.path = "/once/x"}).status, 502);
+    EXPECT_EQ(ask(world.caller_port(), {.path = "/once/x"}).status, 502);
 }
 
 // A server's own failure is relayed with its status, body and signature unchanged.
 TEST(platform_calls, failure_of_a_server_is_passed_on_as_it_is)
 {
-    entry_world world(one_server());
-    world.server(0).always(
+    entry_cluster world(one_server());
+    world.server(0).handle_always(
         [](wire_request const& request, wire_connection& connection)
         {
-            connection.send(server_standin::served(request, "broken inside", 500));
+            connection.send(
+                server_standin::signed_response(request, "broken inside", 500));
             return true;
         });
-    auto const answer = ask(world.callers_port(), {.path = "/once/x"});
+    auto const answer = ask(world.caller_port(), {.path = "/once/x"});
     EXPECT_EQ(answer.status, 500);
     EXPECT_EQ(answer.body, "broken inside");
     EXPECT_EQ(answer.fields.at("instance-signature"), "signed");
--- a/tests/platform/beliefs_test.cpp
+++ b/tests/platform/beliefs_test.cpp
@@ -1,7 +1,7 @@
 // What a daemon knows from the store, and what its callers see when the store fails.
 //
 // Index: 1 rules and keys, 2 servers, 3 shutdown, 4 duties, 5 log lines
-#include "platform/support/entry_world.hpp"
+#include "platform/support/entry_cluster.hpp"
 #include "platform/support/raw_caller.hpp"
 #include "support/eventually.hpp"
 
@@ -18,9 +18,9 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-int status_of(entry_world const& world, request_options const& options, int daemon = 0)
+int status_of(entry_cluster const& world, request_options const& options, int daemon = 0)
 {
-    return ask(world.callers_port(daemon), options).status;
+    return ask(world.caller_port(daemon), options).status;
 }
 
 // 1. Rules and keys
@@ -29,7 +29,7 @@
 // workspace is still served.
 TEST(platform_beliefs, withdrawn_key_stops_working)
 {
-    entry_world world;
+    entry_cluster world;
     EXPECT_EQ(status_of(world, {}), 200);
     world.configure(2, {"key-other"});
     EXPECT_TRUE(eventually([&] { return status_of(world, {}) == 401; }, 2000));
@@ -42,15 +42,15 @@
 // calls that need no key.
 TEST(platform_beliefs, keyed_calls_are_refused_when_keys_can_not_be_checked)
 {
-    entry_world world({.bounds = "key_life_ms = 3000\n"});
-    world.store().trouble(store_trouble::silent);
+    entry_cluster world({.bounds = "key_life_ms = 3000\n"});
+    world.store().trouble(store_fault_kind::silent);
     ASSERT_TRUE(eventually([&] { return status_of(world, {}) == 503; }, 8000));
-    auto const answer = ask(world.callers_port(), {});
+    auto const answer = ask(world.caller_port(), {});
     EXPECT_NE(answer.body.find("stale_keys"), std::string::npos);
     EXPECT_EQ(answer.fields.count("retry-after"), 1U);
     EXPECT_EQ(status_of(world, {.path = "/open/x", .key = ""}), 200);
     EXPECT_FALSE(world.ready());
-    world.store().trouble(store_trouble::none);
+    world.store().trouble(store_fault_kind::none);
     EXPECT_TRUE(eventually([&] { return status_of(world, {}) == 200; }, 8000));
 }
 
@@ -58,7 +58,7 @@
 // being written. The old version must not come into force again.
 TEST(platform_beliefs, older_rules_never_replace_newer_ones)
 {
-    entry_world world;
+    entry_cluster world;
     world.configure(7, {"key-new"});
     ASSERT_TRUE(eventually([&] { return status_of(world, {.key = "key-new"}) == 200; }));
     world.configure(6, {"key-north"});
@@ -72,11 +72,11 @@
 // again.
 TEST(platform_beliefs, rules_are_read_again_after_the_store_dropped_records)
 {
-    entry_world world;
-    world.store().trouble(store_trouble::refusing);
+    entry_cluster world;
+    world.store().trouble(store_fault_kind::refusing);
     std::this_thread::sleep_for(milliseconds{1800}); // until the current read has ended
     world.configure(2, {"key-new"});
-    world.store().trouble(store_trouble::forgetting);
+    world.store().trouble(store_fault_kind::truncated);
     EXPECT_TRUE(
         eventually([&] { return status_of(world, {.key = "key-new"}) == 200; }, 8000));
 }
@@ -85,7 +85,7 @@
 // its own status.
 TEST(platform_beliefs, unknown_paths_and_keys_are_told_apart)
 {
-    entry_world world;
+    entry_cluster world;
     EXPECT_EQ(status_of(world, {.path = "/nowhere/x"}), 404);
     EXPECT_EQ(status_of(world, {.key = ""}), 401);
     EXPECT_EQ(status_of(world, {.key = "key-nobody"}), 401);
@@ -98,12 +98,12 @@
 // refuse every call, although all servers are alive.
 TEST(platform_beliefs, servers_stay_in_use_after_their_entries_expire)
 {
-    entry_world world;
-    world.store().trouble(store_trouble::refusing);
+    entry_cluster world;
+    world.store().trouble(store_fault_kind::refusing);
     std::this_thread::sleep_for(milliseconds{1500});
-    world.store().drop("keyed.servers", "i-0");
-    world.store().drop("keyed.servers", "i-1");
-    world.store().trouble(store_trouble::none);
+    world.store().remove("keyed.servers", "i-0");
+    world.store().remove("keyed.servers", "i-1");
+    world.store().trouble(store_fault_kind::none);
     auto const until = steady_clock::now() + milliseconds{1500};
     while (steady_clock::now() < until)
     {
@@ -111,33 +111,33 @@
     }
     world.list_server(world.server(1)); // only one server comes back
     std::this_thread::sleep_for(milliseconds{3500});
-    auto const before = world.server(0).arrivals().size();
+    auto const before = world.server(0).received_requests().size();
     for (int call = 0; call < 6; ++call)
     {
         EXPECT_EQ(status_of(world, {.id = std::to_string(call)}), 200);
     }
-    EXPECT_EQ(world.server(0).arrivals().size(), before);
+    EXPECT_EQ(world.server(0).received_requests().size(), before);
 }
 
 // A server announces that it is leaving. New work sent to it would be lost with it.
 TEST(platform_beliefs, leaving_server_gets_no_new_work)
 {
-    entry_world world;
+    entry_cluster world;
     world.list_server(world.server(0), "draining");
     std::this_thread::sleep_for(milliseconds{1900});
-    auto const before = world.server(0).arrivals().size();
+    auto const before = world.server(0).received_requests().size();
     for (int call = 0; call < 6; ++call)
     {
         EXPECT_EQ(status_of(world, {.id = std::to_string(call)}), 200);
     }
-    EXPECT_EQ(world.server(0).arrivals().size(), before);
+    EXPECT_EQ(world.server(0).received_requests().size(), before);
 }
 
 // Another writer corrupts the entry of a server. That entry is ignored; it must neither
 // end the process nor affect the other servers.
 TEST(platform_beliefs, unreadable_entries_leave_the_others_in_use)
 {
-    entry_world world;
+    entry_cluster world;
     world.store().put("keyed.servers", "i-0", "\xff\xfe not json");
     world.store().put("keyed.servers", "i-9",
                       R"({"service":7,"address":[],"state":"ready"})");
@@ -146,7 +146,7 @@
     {
         EXPECT_EQ(status_of(world, {.id = std::to_string(call)}), 200);
     }
-    EXPECT_TRUE(world.server(0).arrivals().empty());
+    EXPECT_TRUE(world.server(0).received_requests().empty());
 }
 
 // 3. Shutdown
@@ -155,7 +155,7 @@
 // relay the stream to its end, and then exit by itself.
 TEST(platform_beliefs, planned_stop_interrupts_no_call)
 {
-    entry_world       world;
+    entry_cluster     world;
     std::atomic<bool> go_on{false};
     auto const        slow = [&](wire_request const& request, wire_connection& connection)
     {
@@ -165,10 +165,10 @@
         connection.send(server_standin::chunk(server_standin::event(2)) + "0\r\n\r\n");
         return true;
     };
-    world.server(0).always(slow);
-    world.server(1).always(slow);
-    raw_caller caller(world.callers_port());
-    raw_caller idle(world.callers_port());
+    world.server(0).handle_always(slow);
+    world.server(1).handle_always(slow);
+    raw_caller caller(world.caller_port());
+    raw_caller idle(world.caller_port());
     caller.send(make_request({.path = "/stream/x", .deadline_ms = 20000}));
     caller.read_until("data: piece 1");
     world.daemon().signal(SIGTERM);
@@ -176,7 +176,7 @@
     EXPECT_TRUE(idle.closed(5000));
     go_on = true;
     auto const answer = caller.read();
-    EXPECT_TRUE(answer.whole);
+    EXPECT_TRUE(answer.complete);
     EXPECT_EQ(answer.body, server_standin::event(1) + server_standin::event(2));
     EXPECT_EQ(world.daemon().wait(9000), 0);
 }
@@ -186,17 +186,17 @@
 // would be killed.
 TEST(platform_beliefs, planned_stop_ends_within_the_grace_while_the_store_is_silent)
 {
-    entry_world world({.bounds = "grace_s = 4\n"});
-    world.server(0).always(
+    entry_cluster world({.bounds = "grace_s = 4\n"});
+    world.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         { return eventually([&] { return connection.closed_by_peer(); }); });
-    world.server(1).always(
+    world.server(1).handle_always(
         [](wire_request const&, wire_connection& connection)
         { return eventually([&] { return connection.closed_by_peer(); }); });
-    raw_caller caller(world.callers_port());
+    raw_caller caller(world.caller_port());
     caller.send(make_request({.path = "/stream/x", .deadline_ms = 20000}));
     std::this_thread::sleep_for(milliseconds{200});
-    world.store().trouble(store_trouble::silent);
+    world.store().trouble(store_fault_kind::silent);
     world.daemon().signal(SIGTERM);
     EXPECT_GE(world.daemon().wait(15000), 0);
     auto const output = world.output();
@@ -209,10 +209,10 @@
 
 // 4. Duties
 
-std::vector<duty_call> reports_of(entry_world const& world)
+std::vector<duty_request> reports_of(entry_cluster const& world)
 {
-    std::vector<duty_call> result;
-    for (auto const& call : world.duty_calls())
+    std::vector<duty_request> result;
+    for (auto const& call : world.duty_requests())
     {
         if (call.path == "/usage")
         {
@@ -223,7 +223,7 @@
 }
 
 /// Settings with short windows.
-world_options quick_duties(int daemons)
+cluster_options quick_duties(int daemons)
 {
     return {.daemons = daemons,
             .bounds = "usage_window_s = 1\nlease_ms = 1500\nkey_life_ms = 5000\n"};
@@ -235,9 +235,9 @@
 // window may be reported with two figures.
 TEST(platform_beliefs, paused_holder_reports_nothing_after_its_successor)
 {
-    entry_world world(quick_duties(2));
-    int         id = 0;
-    auto const  call_both = [&]
+    entry_cluster world(quick_duties(2));
+    int           id = 0;
+    auto const    call_both = [&]
     {
         for (int daemon = 0; daemon < 2; ++daemon)
         {
@@ -283,7 +283,7 @@
 // appends again must not be billed twice.
 TEST(platform_beliefs, counts_whose_append_got_no_answer_are_billed_once)
 {
-    entry_world world(quick_duties(1));
+    entry_cluster world(quick_duties(1));
     ASSERT_TRUE(eventually(
         [&]
         {
@@ -291,7 +291,7 @@
             return !reports_of(world).empty();
         },
         30000));
-    world.store().trouble(store_trouble::losing);
+    world.store().trouble(store_fault_kind::losing_responses);
     int const calls = 20;
     for (int call = 0; call < calls; ++call)
     {
@@ -299,7 +299,7 @@
                   200);
     }
     std::this_thread::sleep_for(milliseconds{1800});
-    world.store().trouble(store_trouble::none);
+    world.store().trouble(store_fault_kind::none);
     auto const billed = [&]
     {
         std::int64_t sum = 0;
@@ -318,9 +318,9 @@
 // would not be billed. The other VM has received the counts in digests.
 TEST(platform_beliefs, calls_of_a_killed_vm_are_billed)
 {
-    entry_world world({.daemons = 2,
-                       .bounds = "usage_window_s = 4\nlease_ms = 1500\n"
-                                 "key_life_ms = 5000\n"});
+    entry_cluster world({.daemons = 2,
+                         .bounds = "usage_window_s = 4\nlease_ms = 1500\n"
+                                   "key_life_ms = 5000\n"});
     ASSERT_TRUE(eventually([&] { return !reports_of(world).empty(); }, 30000));
     auto const holder = reports_of(world).back().holder == "vm-0" ? 0 : 1;
     int const  calls = 20;
@@ -354,7 +354,7 @@
 // one.
 TEST(platform_beliefs, window_without_calls_is_reported)
 {
-    entry_world world(quick_duties(1));
+    entry_cluster world(quick_duties(1));
     EXPECT_TRUE(eventually([&] { return reports_of(world).size() >= 2; }, 30000));
     EXPECT_TRUE(reports_of(world).back().body.at("counts").empty());
 }
@@ -365,7 +365,7 @@
 // must write exactly one final line with the id, and no line may contain a key.
 TEST(platform_beliefs, every_call_leaves_one_final_line_and_no_line_holds_a_key)
 {
-    entry_world world;
+    entry_cluster world;
     status_of(world, {.id = "served"});
     status_of(world, {.path = "/nowhere/x", .id = "lost-way"});
     status_of(world, {.id = "bad-key", .key = "key-nobody"});
@@ -374,8 +374,8 @@
         connection.reset();
         return false;
     };
-    world.server(0).always(lose);
-    world.server(1).always(lose);
+    world.server(0).handle_always(lose);
+    world.server(1).handle_always(lose);
     status_of(world, {.path = "/once/x", .id = "reset"});
     auto const lines = [&](std::string const& id)
     {
--- a/tests/platform/quotas_test.cpp
+++ b/tests/platform/quotas_test.cpp
@@ -1,5 +1,5 @@
 // Quotas of workspaces over several daemons, as seen by callers and servers.
-#include "platform/support/entry_world.hpp"
+#include "platform/support/entry_cluster.hpp"
 #include "platform/support/raw_caller.hpp"
 #include "support/eventually.hpp"
 
@@ -20,21 +20,21 @@
 constexpr char const* quota_bounds =
     "quota_window_s = 8\nquota_overage = 0.1\nquota_slack = 400\n";
 
-world_options three_with(std::string fields)
+cluster_options three_with(std::string fields)
 {
     return {.daemons = 3, .bounds = quota_bounds, .north_fields = std::move(fields)};
 }
 
-raw_answer call(entry_world const& world, int daemon, std::string const& id,
-                std::string const& tokens = "50,50")
+raw_response call(entry_cluster const& world, int daemon, std::string const& id,
+                  std::string const& tokens = "50,50")
 {
     std::string const stated = tokens.empty() ? "" : "Token-Count: " + tokens + "\r\n";
-    return ask(world.callers_port(daemon), {.id = id, .fields = stated});
+    return ask(world.caller_port(daemon), {.id = id, .fields = stated});
 }
 
 /// Tokens of the calls that were admitted. Each has 100 tokens; all daemons are called in
 /// turn.
-int tokens_let_in(entry_world const& world, int calls)
+int tokens_let_in(entry_cluster const& world, int calls)
 {
     int served = 0;
     for (int index = 0; index < calls; ++index)
@@ -47,7 +47,7 @@
 }
 
 /// Sends two small calls to each daemon, one after the other.
-bool lets_in_two_each(entry_world const& world)
+bool lets_in_two_each(entry_cluster const& world)
 {
     bool all = true;
     for (int daemon = 0; daemon < 3; ++daemon)
@@ -61,7 +61,7 @@
 /// Waits until each daemon admits two calls. Before the daemons know each other, each has
 /// a small share of the quota, which the second call exceeds. The pause then lets the
 /// quota refill.
-bool shares_settle(entry_world const& world)
+bool shares_settle(entry_cluster const& world)
 {
     constexpr int most_looks = 15;
     for (int look = 0; look < most_looks; ++look)
@@ -80,7 +80,7 @@
 // workspace would get three times its quota.
 TEST(platform_quotas, one_quota_holds_over_all_vms)
 {
-    entry_world world{three_with(small_quota)};
+    entry_cluster world{three_with(small_quota)};
     ASSERT_TRUE(shares_settle(world));
     auto const     began = std::chrono::steady_clock::now();
     auto const     tokens = tokens_let_in(world, 120);
@@ -94,20 +94,21 @@
     EXPECT_EQ(refused.status, 429);
     EXPECT_NE(refused.body.find("not_run"), std::string::npos);
     EXPECT_EQ(refused.fields.count("retry-after"), 1U);
-    EXPECT_EQ(ask(world.callers_port(1), {.key = "key-south"}).status, 200);
+    EXPECT_EQ(ask(world.caller_port(1), {.key = "key-south"}).status, 200);
 }
 
 // A refused call must not reach a server, and its response says that it has not run.
 TEST(platform_quotas, refused_calls_reach_no_server)
 {
-    entry_world world{three_with(small_quota)};
+    entry_cluster world{three_with(small_quota)};
     ASSERT_TRUE(shares_settle(world));
     static_cast<void>(tokens_let_in(world, 60));
-    auto const before =
-        world.server(0).arrivals().size() + world.server(1).arrivals().size();
+    auto const before = world.server(0).received_requests().size() +
+                        world.server(1).received_requests().size();
     EXPECT_EQ(call(world, 0, "large", "4000,4000").status, 429);
     EXPECT_EQ(call(world, 2, "large-too", "4000,4000").status, 429);
-    EXPECT_EQ(world.server(0).arrivals().size() + world.server(1).arrivals().size(),
+    EXPECT_EQ(world.server(0).received_requests().size() +
+                  world.server(1).received_requests().size(),
               before);
 }
 
@@ -115,7 +116,7 @@
 // workspace nor admit unlimited calls.
 TEST(platform_quotas, quota_outlives_its_owner_vm)
 {
-    entry_world world{three_with(small_quota)};
+    entry_cluster world{three_with(small_quota)};
     ASSERT_TRUE(shares_settle(world));
     world.daemon(0).signal(SIGKILL);
     EXPECT_TRUE(eventually(
@@ -139,7 +140,7 @@
 // and the log must show the fault.
 TEST(platform_quotas, quota_that_can_not_be_read_leaves_the_last_one)
 {
-    entry_world world{three_with(small_quota)};
+    entry_cluster world{three_with(small_quota)};
     ASSERT_TRUE(shares_settle(world));
     world.configure_north(2, R"({"rate_per_s":-3,"burst":"many"})");
     ASSERT_TRUE(eventually(
@@ -156,14 +157,14 @@
 // workspace is refused once servers accept calls again.
 TEST(platform_quotas, calls_that_did_not_run_give_their_tokens_back)
 {
-    entry_world world{three_with(small_quota)};
+    entry_cluster world{three_with(small_quota)};
     ASSERT_TRUE(shares_settle(world));
     for (int index = 0; index < 2; ++index)
     {
-        world.server(index).always(
+        world.server(index).handle_always(
             [](wire_request const& request, wire_connection& connection)
             {
-                connection.send(server_standin::turned_away(request));
+                connection.send(server_standin::not_executed_response(request));
                 return true;
             });
     }
@@ -177,7 +178,7 @@
 // its quota.
 TEST(platform_quotas, token_counts_that_are_no_numbers_are_refused)
 {
-    entry_world world{three_with(small_quota)};
+    entry_cluster world{three_with(small_quota)};
     for (auto const* text : {"many", "5", "5,", ",5", "-1,5", "5,5,5", "9999999999999,1"})
     {
         EXPECT_EQ(call(world, 0, "bad", text).status, 400) << text;
--- a/tests/platform/relays_test.cpp
+++ b/tests/platform/relays_test.cpp
@@ -1,7 +1,7 @@
 // Fleets larger than the mesh, which read records of the store through other VMs.
 //
 // Index: 1 a link between two VMs, 2 daemons
-#include "platform/support/entry_world.hpp"
+#include "platform/support/entry_cluster.hpp"
 #include "platform/support/raw_caller.hpp"
 #include "serving/record_link.hpp"
 #include "support/eventually.hpp"
@@ -201,7 +201,7 @@
 constexpr int fleet_size = 5; // with a mesh of two, one VM reads the store for all
 
 /// The last relay plan that a VM has logged.
-std::string last_plan(entry_world const& world, int index)
+std::string last_plan(entry_cluster const& world, int index)
 {
     auto const text = world.output(index);
     auto const last = text.rfind("ev=relays ");
@@ -209,14 +209,14 @@
                                      : text.substr(last, text.find('\n', last) - last);
 }
 
-bool is_relay(entry_world const& world, int index)
+bool is_relay(entry_cluster const& world, int index)
 {
     return last_plan(world, index).find("relay=1") != std::string::npos;
 }
 
 /// Whether all VMs know each other: there are two relays, and one of them queries the
 /// other.
-bool planned(entry_world const& world)
+bool planned(entry_cluster const& world)
 {
     int relays = 0;
     int askers = 0;
@@ -231,20 +231,20 @@
 }
 
 /// A fleet whose members have found their relays.
-std::unique_ptr<entry_world> fleet(std::string bounds = "")
+std::unique_ptr<entry_cluster> fleet(std::string bounds = "")
 {
-    auto world = std::make_unique<entry_world>(
-        world_options{.daemons = fleet_size, .bounds = std::move(bounds), .mesh = 2});
+    auto world = std::make_unique<entry_cluster>(
+        cluster_options{.daemons = fleet_size, .bounds = std::move(bounds), .mesh = 2});
     EXPECT_TRUE(eventually([&] { return planned(*world); }, 10000));
     return world;
 }
 
-int status_at(entry_world const& world, int index)
+int status_at(entry_cluster const& world, int index)
 {
-    return ask(world.callers_port(index), {}).status;
+    return ask(world.caller_port(index), {}).status;
 }
 
-bool all_answer(entry_world const& world, int status)
+bool all_answer(entry_cluster const& world, int status)
 {
     for (int index = 0; index < fleet_size; ++index)
     {
@@ -271,9 +271,9 @@
 {
     auto const world = fleet("key_life_ms = 5000\n");
     EXPECT_TRUE(eventually([&] { return all_answer(*world, 200); }));
-    world->store().trouble(store_trouble::silent);
+    world->store().trouble(store_fault_kind::silent);
     EXPECT_TRUE(eventually([&] { return all_answer(*world, 503); }, 6000));
-    world->store().trouble(store_trouble::none);
+    world->store().trouble(store_fault_kind::none);
     EXPECT_TRUE(eventually([&] { return all_answer(*world, 200); }, 10000));
 }
 
@@ -320,7 +320,7 @@
 TEST(platform_relays, vm_that_starts_again_reads_only_the_end_of_the_usage_log)
 {
     constexpr int kept = 3000;
-    entry_world   world({.daemons = 2});
+    entry_cluster world({.daemons = 2});
     for (int index = 0; index < kept; ++index)
     {
         world.store().append("usage", "not a record");
@@ -336,7 +336,7 @@
 // others. The others must still learn of new rules in time.
 TEST(platform_relays, small_fleet_learns_of_rules_while_one_vm_has_lost_the_store)
 {
-    entry_world   world({.daemons = 3, .relayed = true});
+    entry_cluster world({.daemons = 3, .relayed = true});
     std::uint64_t version = 1;
     for (int lost = 0; lost < 3; ++lost)
     {
@@ -345,7 +345,7 @@
         world.configure(++version, {key});
         auto const serves = [&](int daemon)
         {
-            return ask(world.callers_port(daemon), {.key = key}).status == 200;
+            return ask(world.caller_port(daemon), {.key = key}).status == 200;
         };
         for (int daemon = 0; daemon < 3; ++daemon)
         {
--- a/tests/platform/support/entry_world.cpp
+++ b/tests/platform/support/entry_cluster.cpp
@@ -1,5 +1,5 @@
-// Settings, rules and processes of entry_world.
-#include "platform/support/entry_world.hpp"
+// Settings, rules and processes of entry_cluster.
+#include "platform/support/entry_cluster.hpp"
 
 #include "platform/support/raw_caller.hpp"
 #include "support/eventually.hpp"
@@ -39,7 +39,7 @@
 
 } // namespace
 
-entry_world::entry_world(world_options options) : options_(std::move(options))
+entry_cluster::entry_cluster(cluster_options options) : options_(std::move(options))
 {
     directory_ = std::filesystem::temp_directory_path() /
                  ("marigoldcrank-" + std::to_string(::getpid()) + "-" +
@@ -90,14 +90,14 @@
     }
 }
 
-entry_world::~entry_world()
+entry_cluster::~entry_cluster()
 {
     daemons_.clear();
     std::filesystem::remove_all(directory_);
 }
 
-void entry_world::configure(std::uint64_t                   version,
-                            std::vector<std::string> const& north_keys)
+void entry_cluster::configure(std::uint64_t                   version,
+                              std::vector<std::string> const& north_keys)
 {
     auto routes = nlohmann::json::array({make_route("/repeat/", "idempotent", 2),
                                          make_route("/once/", "non_idempotent", 1),
@@ -134,13 +134,13 @@
     store_->put("keyed.op", "config", rules.dump());
 }
 
-void entry_world::configure_north(std::uint64_t version, std::string const& fields)
+void entry_cluster::configure_north(std::uint64_t version, std::string const& fields)
 {
     options_.north_fields = fields;
     configure(version, {"key-north"});
 }
 
-void entry_world::list_server(server_standin const& server, std::string const& state)
+void entry_cluster::list_server(server_standin const& server, std::string const& state)
 {
     nlohmann::json const entry{
         {"service", "desk"}, {"address", loopback_address(port_of(server))},
@@ -149,7 +149,7 @@
     store_->put("keyed.servers", server.id(), entry.dump());
 }
 
-void entry_world::list_engine(server_standin const& server, std::string const& stage)
+void entry_cluster::list_engine(server_standin const& server, std::string const& stage)
 {
     nlohmann::json const entry{
         {"service", "models"}, {"address", loopback_address(server.port())},
@@ -159,48 +159,48 @@
     store_->put("keyed.servers", server.id(), entry.dump());
 }
 
-int entry_world::port_of(server_standin const& server) const
+int entry_cluster::port_of(server_standin const& server) const
 {
     auto const relayed = server_ports_.find(server.id());
     return relayed == server_ports_.end() ? server.port() : relayed->second;
 }
 
-tcp_relay& entry_world::store_relay(int index)
+tcp_relay& entry_cluster::store_relay(int index)
 {
     return *store_relays_.at(static_cast<std::size_t>(index));
 }
 
-tcp_relay& entry_world::server_relay(int index)
+tcp_relay& entry_cluster::server_relay(int index)
 {
     return *server_relays_.at(static_cast<std::size_t>(index));
 }
 
-server_standin& entry_world::server(int index)
+server_standin& entry_cluster::server(int index)
 {
     return *servers_.at(static_cast<std::size_t>(index));
 }
 
-store_standin& entry_world::store()
+store_standin& entry_cluster::store()
 {
     return *store_;
 }
 
-child_process& entry_world::daemon(int index)
+child_process& entry_cluster::daemon(int index)
 {
     return *daemons_.at(static_cast<std::size_t>(index));
 }
 
-int entry_world::callers_port(int index) const
+int entry_cluster::caller_port(int index) const
 {
     return caller_ports_.at(static_cast<std::size_t>(index));
 }
 
-int entry_world::readiness_port(int index) const
+int entry_cluster::readiness_port(int index) const
 {
     return readiness_ports_.at(static_cast<std::size_t>(index));
 }
 
-void entry_world::start(int index)
+void entry_cluster::start(int index)
 {
     auto const    slot = static_cast<std::size_t>(index);
     auto const    file = directory_ + "/entry-" + std::to_string(index) + ".ini";
@@ -222,13 +222,13 @@
         directory_ + "/output-" + std::to_string(index));
 }
 
-void entry_world::restart(int index)
+void entry_cluster::restart(int index)
 {
     daemons_.at(static_cast<std::size_t>(index)).reset();
     start(index);
 }
 
-std::string entry_world::output(int index) const
+std::string entry_cluster::output(int index) const
 {
     std::ifstream      file(directory_ + "/output-" + std::to_string(index));
     std::ostringstream text;
@@ -236,21 +236,21 @@
     return text.str();
 }
 
-bool entry_world::ready(int index) const
+bool entry_cluster::ready(int index) const
 {
     raw_caller caller(readiness_port(index));
     caller.send("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     return caller.read().status == 200;
 }
 
-std::vector<duty_call> entry_world::duty_calls() const
+std::vector<duty_request> entry_cluster::duty_requests() const
 {
     std::lock_guard lock{mutex_};
     return duty_requests_;
 }
 
-bool entry_world::record_duty_request(wire_request const& request,
-                                      wire_connection&    connection)
+bool entry_cluster::record_duty_request(wire_request const& request,
+                                        wire_connection&    connection)
 {
     {
         std::lock_guard lock{mutex_};
@@ -258,7 +258,7 @@
                                   std::stoull(request.field("fencing-token")),
                                   nlohmann::json::parse(request.body)});
     }
-    connection.send(wire_answer(200, "", ""));
+    connection.send(wire_response(200, "", ""));
     return true;
 }
 
--- a/tests/platform/support/entry_world.hpp
+++ b/tests/platform/support/entry_cluster.hpp
@@ -1,7 +1,7 @@
 // Test fixture that runs entry daemons against stand-ins of the store, the backend
 // servers and the platform's duty service.
 //
-// Index: 1 duty_call, 2 world_options, 3 one_server, 4 entry_world
+// Index: 1 duty_request, 2 cluster_options, 3 one_server, 4 entry_cluster
 #ifndef MARIGOLDCRANK_TESTS_PLATFORM_ENTRY_WORLD_HPP
 #define MARIGOLDCRANK_TESTS_PLATFORM_ENTRY_WORLD_HPP
 
@@ -19,7 +19,7 @@
 {
 
 /// A request that the platform received from the VM that holds a duty.
-struct duty_call
+struct duty_request
 {
     std::string    path;
     std::string    holder;
@@ -27,7 +27,7 @@
     nlohmann::json body;
 };
 
-struct world_options
+struct cluster_options
 {
     int         daemons = 1;
     int         servers = 2;     // of the service "desk"
@@ -39,7 +39,7 @@
 };
 
 /// Options for one server, for tests that must know which server a call reaches.
-inline world_options one_server()
+inline cluster_options one_server()
 {
     return {.servers = 1};
 }
@@ -51,11 +51,11 @@
 /// /stream/ streams without resumption, /resume/ streams with it, /open/ is idempotent
 /// and needs no key, /model/ streams from the service "models". Workspace `north` has key
 /// `key-north`, workspace `south` has key `key-south`.
-class entry_world
+class entry_cluster
 {
 public:
-    explicit entry_world(world_options options = {});
-    ~entry_world();
+    explicit entry_cluster(cluster_options options = {});
+    ~entry_cluster();
 
     /// Writes a configuration with these keys of workspace north to the store.
     void configure(std::uint64_t version, std::vector<std::string> const& north_keys);
@@ -78,7 +78,7 @@
     server_standin& server(int index);
     store_standin&  store();
     child_process&  daemon(int index = 0);
-    int             callers_port(int index = 0) const;
+    int             caller_port(int index = 0) const;
     int             readiness_port(int index = 0) const;
 
     /// Ends the process of daemon `index` and starts a new one.
@@ -87,15 +87,15 @@
     /// What daemon `index` has written to standard output so far.
     std::string output(int index = 0) const;
 
-    bool                   ready(int index = 0) const;
-    std::vector<duty_call> duty_calls() const;
+    bool                      ready(int index = 0) const;
+    std::vector<duty_request> duty_requests() const;
 
 private:
     int  port_of(server_standin const& server) const;
     bool record_duty_request(wire_request const& request, wire_connection& connection);
     void start(int index);
 
-    world_options                                options_;
+    cluster_options                              options_;
     port_block                                   ports_;
     std::string                                  directory_;
     std::unique_ptr<store_standin>               store_;
@@ -113,7 +113,7 @@
     std::vector<int>                             record_ports_;
     std::vector<std::unique_ptr<child_process>>  daemons_;
     mutable std::mutex                           mutex_;
-    std::vector<duty_call>                       duty_requests_;
+    std::vector<duty_request>                    duty_requests_;
 };
 
 } // namespace marigoldcrank::tests
--- a/tests/platform/support/raw_caller.cpp
+++ b/tests/platform/support/raw_caller.cpp
@@ -12,7 +12,7 @@
 namespace marigoldcrank::tests
 {
 
-bool signed_by_server(raw_answer const& response)
+bool signed_by_server(raw_response const& response)
 {
     return response.fields.count("instance-signature") > 0;
 }
@@ -68,9 +68,9 @@
     return count > 0;
 }
 
-raw_answer raw_caller::read(int timeout_ms)
+raw_response raw_caller::read(int timeout_ms)
 {
-    raw_answer response;
+    raw_response response;
     while (buffer_.find("\r\n\r\n") == std::string::npos)
     {
         if (!receive_some(timeout_ms))
@@ -115,7 +115,7 @@
             buffer_.erase(0, line + 2 + length + 2);
             if (length == 0)
             {
-                response.whole = true;
+                response.complete = true;
                 return response;
             }
         }
@@ -124,7 +124,7 @@
     while (buffer_.size() < length && receive_some(timeout_ms))
     {
     }
-    response.whole = buffer_.size() >= length;
+    response.complete = buffer_.size() >= length;
     response.body = buffer_.substr(0, length);
     buffer_.erase(0, length);
     return response;
@@ -157,7 +157,7 @@
            options.fields + "Content-Length: " + length + "\r\n\r\n" + options.body;
 }
 
-raw_answer ask(int port, request_options const& options)
+raw_response ask(int port, request_options const& options)
 {
     raw_caller caller(port);
     caller.send(make_request(options));
--- a/tests/platform/support/raw_caller.hpp
+++ b/tests/platform/support/raw_caller.hpp
@@ -1,6 +1,6 @@
 // Test HTTP client that sends raw bytes and reports exactly what it receives.
 //
-// Index: 1 raw_answer, 2 signed_by_server, 3 raw_caller, 4 request_options,
+// Index: 1 raw_response, 2 signed_by_server, 3 raw_caller, 4 request_options,
 // 5 make_request, 6 ask
 #ifndef MARIGOLDCRANK_TESTS_PLATFORM_RAW_CALLER_HPP
 #define MARIGOLDCRANK_TESTS_PLATFORM_RAW_CALLER_HPP
@@ -11,16 +11,16 @@
 namespace marigoldcrank::tests
 {
 
-struct raw_answer
+struct raw_response
 {
     int  status = 0;                           // 0: no response
-    bool whole = false;                        // false: it ended before its framing says
+    bool complete = false;                     // false: it ended before its framing says
     std::map<std::string, std::string> fields; // header fields; names in lower case
     std::string                        body;   // without chunk framing
 };
 
 /// True if a response carries a server's signature field.
-bool signed_by_server(raw_answer const& response);
+bool signed_by_server(raw_response const& response);
 
 /// One connection to a port on the loopback address.
 class raw_caller
@@ -35,7 +35,7 @@
 
     /// Reads the next response. `timeout_ms` bounds each wait for more bytes; if it
     /// passes, the response is returned as far as it was read.
-    raw_answer read(int timeout_ms = 15000);
+    raw_response read(int timeout_ms = 15000);
 
     /// Reads until the unread bytes contain `text`, and returns them without consuming
     /// them.
@@ -68,7 +68,7 @@
 std::string make_request(request_options const& options);
 
 /// Sends one request on a new connection and returns its response.
-raw_answer ask(int port, request_options const& options);
+raw_response ask(int port, request_options const& options);
 
 } // namespace marigoldcrank::tests
 
--- a/tests/platform/support/server_standin.cpp
+++ b/tests/platform/support/server_standin.cpp
@@ -13,19 +13,19 @@
 {
 }
 
-void server_standin::next(behaviour respond)
+void server_standin::handle_next(behaviour respond)
 {
     std::lock_guard lock{mutex_};
     next_behaviours_.push_back(std::move(respond));
 }
 
-void server_standin::always(behaviour respond)
+void server_standin::handle_always(behaviour respond)
 {
     std::lock_guard lock{mutex_};
     default_behaviour_ = std::move(respond);
 }
 
-std::vector<wire_request> server_standin::arrivals() const
+std::vector<wire_request> server_standin::received_requests() const
 {
     std::lock_guard lock{mutex_};
     return arrivals_;
@@ -46,18 +46,18 @@
     return server_.connections();
 }
 
-std::string server_standin::served(wire_request const& request, std::string const& body,
-                                   int status)
+std::string server_standin::signed_response(wire_request const& request,
+                                            std::string const& body, int status)
 {
-    return wire_answer(status,
-                       "Request-Id: " + request.field("request-id") +
-                           "\r\nInstance-Signature: signed\r\n",
-                       body);
+    return wire_response(status,
+                         "Request-Id: " + request.field("request-id") +
+                             "\r\nInstance-Signature: signed\r\n",
+                         body);
 }
 
-std::string server_standin::turned_away(wire_request const& request)
+std::string server_standin::not_executed_response(wire_request const& request)
 {
-    return wire_answer(
+    return wire_response(
         503, "Not-Executed: 1\r\nRequest-Id: " + request.field("request-id") + "\r\n",
         "");
 }
@@ -101,14 +101,14 @@
     auto const expected = request.field("expect-instance");
     if (!expected.empty() && expected != id_)
     {
-        connection.send(wire_answer(421, "Instance-Id: " + id_ + "\r\n", ""));
+        connection.send(wire_response(421, "Instance-Id: " + id_ + "\r\n", ""));
         return true;
     }
     if (respond)
     {
         return respond(request, connection);
     }
-    connection.send(served(request, "served by " + id_));
+    connection.send(signed_response(request, "served by " + id_));
     return true;
 }
 
--- a/tests/platform/support/server_standin.hpp
+++ b/tests/platform/support/server_standin.hpp
@@ -22,22 +22,22 @@
     server_standin(int port, std::string id);
 
     /// Queues a behaviour for one request. Without any, a request gets a signed 200.
-    void next(behaviour respond);
+    void handle_next(behaviour respond);
 
     /// Sets the behaviour for all requests for which none is queued.
-    void always(behaviour respond);
+    void handle_always(behaviour respond);
 
-    std::vector<wire_request> arrivals() const;
+    std::vector<wire_request> received_requests() const;
     std::string const&        id() const;
     int                       port() const;
     std::size_t               connections() const;
 
     /// A signed response with the request's id.
-    static std::string served(wire_request const& request, std::string const& body,
-                              int status = 200);
+    static std::string signed_response(wire_request const& request,
+                                       std::string const& body, int status = 200);
 
     /// A 503 response that says the request hasn't run.
-    static std::string turned_away(wire_request const& request);
+    static std::string not_executed_response(wire_request const& request);
 
     /// The head of a signed event stream in chunked transfer coding.
     static std::string stream_head(wire_request const& request);
--- a/tests/platform/support/store_standin.cpp
+++ b/tests/platform/support/store_standin.cpp
@@ -64,7 +64,7 @@
 
 std::string json_response(int status, nlohmann::json const& body)
 {
-    return wire_answer(status, "Content-Type: application/json\r\n", body.dump());
+    return wire_response(status, "Content-Type: application/json\r\n", body.dump());
 }
 
 } // namespace
@@ -84,11 +84,11 @@
     appended_.notify_all();
 }
 
-void store_standin::trouble(store_trouble kind)
+void store_standin::trouble(store_fault_kind kind)
 {
     std::lock_guard lock{mutex_};
     fault_ = kind;
-    if (kind == store_trouble::forgetting)
+    if (kind == store_fault_kind::truncated)
     {
         for (auto& [name, topic] : topics_)
         {
@@ -116,7 +116,7 @@
     appended_.notify_all();
 }
 
-void store_standin::drop(std::string const& topic, std::string const& key)
+void store_standin::remove(std::string const& topic, std::string const& key)
 {
     put(topic, key, "");
 }
@@ -136,13 +136,13 @@
 
 bool store_standin::handle(wire_request const& request, wire_connection& connection)
 {
-    auto kind = store_trouble::none;
+    auto kind = store_fault_kind::none;
     {
         std::lock_guard lock{mutex_};
         ++request_count_;
         kind = fault_;
     }
-    if (kind == store_trouble::silent)
+    if (kind == store_fault_kind::silent)
     {
         while (!connection.closed_by_peer())
         {
@@ -155,7 +155,7 @@
         }
         return false;
     }
-    if (kind == store_trouble::refusing)
+    if (kind == store_fault_kind::refusing)
     {
         connection.send(json_response(unavailable, {{"error", "down"}}));
         return true;
@@ -164,7 +164,7 @@
     auto const response = path == "/api/log-append" ? append(request)
                           : path == "/api/log-read" ? read(request)
                                                     : newest_by_key(request);
-    if (kind == store_trouble::losing && path == "/api/log-append")
+    if (kind == store_fault_kind::losing_responses && path == "/api/log-append")
     {
         return false;
     }
@@ -215,9 +215,10 @@
     {
         records.push_back(topic.records[at]);
     }
-    return wire_answer(ok, "",
-                       big_endian(topic.records.size()) + big_endian(topic.first_offset) +
-                           platform::frame_records(records));
+    return wire_response(ok, "",
+                         big_endian(topic.records.size()) +
+                             big_endian(topic.first_offset) +
+                             platform::frame_records(records));
 }
 
 std::string store_standin::newest_by_key(wire_request const& request)
--- a/tests/platform/support/store_standin.hpp
+++ b/tests/platform/support/store_standin.hpp
@@ -1,7 +1,7 @@
 // Stand-in of the platform's store: an append-only log with keyed topics and injected
 // faults.
 //
-// Index: 1 store_trouble, 2 store_standin
+// Index: 1 store_fault_kind, 2 store_standin
 #ifndef MARIGOLDCRANK_TESTS_PLATFORM_STORE_STANDIN_HPP
 #define MARIGOLDCRANK_TESTS_PLATFORM_STORE_STANDIN_HPP
 
@@ -15,13 +15,13 @@
 {
 
 /// The fault that requests to the store meet.
-enum class store_trouble
+enum class store_fault_kind
 {
     none,
-    silent,    // no response, nothing is appended
-    refusing,  // response 503, nothing is appended
-    losing,    // appends take effect, but their responses are lost
-    forgetting // records so far are discarded; reads of them get 410
+    silent,           // no response, nothing is appended
+    refusing,         // response 503, nothing is appended
+    losing_responses, // appends take effect, but their responses are lost
+    truncated         // records so far are discarded; reads of them get 410
 };
 
 /// Keeps all topics in memory.
@@ -31,11 +31,11 @@
     explicit store_standin(int port);
 
     /// Sets the fault of all requests from now on.
-    void trouble(store_trouble kind);
+    void trouble(store_fault_kind kind);
 
     /// Appends a new value of a key, or its removal, to a keyed topic.
     void put(std::string const& topic, std::string const& key, std::string const& value);
-    void drop(std::string const& topic, std::string const& key);
+    void remove(std::string const& topic, std::string const& key);
 
     /// Appends a record as a VM would.
     void append(std::string const& topic, std::string const& record);
@@ -58,7 +58,7 @@
     mutable std::mutex               mutex_;
     std::condition_variable          appended_;
     std::map<std::string, topic_log> topics_;
-    store_trouble                    fault_ = store_trouble::none;
+    store_fault_kind                 fault_ = store_fault_kind::none;
     std::size_t                      request_count_ = 0;
     bool                             stopping_ = false;
     wire_server                      server_; // last: its threads use the members above
--- a/tests/platform/support/wire_server.cpp
+++ b/tests/platform/support/wire_server.cpp
@@ -227,7 +227,7 @@
     connection->close();
 }
 
-std::string wire_answer(int status, std::string const& fields, std::string const& body)
+std::string wire_response(int status, std::string const& fields, std::string const& body)
 {
     return "HTTP/1.1 " + std::to_string(status) +
            " X\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + fields +
--- a/tests/platform/support/wire_server.hpp
+++ b/tests/platform/support/wire_server.hpp
@@ -1,6 +1,6 @@
 // Test HTTP/1.1 server that sends raw bytes, so that tests can send malformed responses.
 //
-// Index: 1 wire_request, 2 wire_connection, 3 wire_server, 4 wire_answer
+// Index: 1 wire_request, 2 wire_connection, 3 wire_server, 4 wire_response
 #ifndef MARIGOLDCRANK_TESTS_PLATFORM_WIRE_SERVER_HPP
 #define MARIGOLDCRANK_TESTS_PLATFORM_WIRE_SERVER_HPP
 
@@ -76,7 +76,7 @@
 };
 
 /// A response with a Content-Length; each line of `fields` has its line end.
-std::string wire_answer(int status, std::string const& fields, std::string const& body);
+std::string wire_response(int status, std::string const& fields, std::string const& body);
 
 } // namespace marigoldcrank::tests
 
