--- a/src/serving/model_placement.cpp
+++ b/src/serving/model_placement.cpp
@@ -57,7 +57,7 @@
     if (needs_prefill() && allow_handoff)
     {
         return place_model(with_cached_tokens(candidates), call_, costs(), centre,
-                           state_.tie_break(), state_.placing());
+                           state_.tie_break(), state_.placement_settings());
     }
     auto const* server = needs_prefill()
                              ? choose_decode_engine(candidates)
@@ -73,7 +73,7 @@
 model_placement::choose_decode_engine(std::vector<candidate> const& candidates)
 {
     return place_decode(candidates, costs(), state_.settings.data_centre,
-                        state_.tie_break(), state_.placing());
+                        state_.tie_break(), state_.placement_settings());
 }
 
 std::optional<millis> model_placement::queue_retry_after(placement const& placed) const
@@ -130,7 +130,8 @@
 double model_placement::unreported_ms() const
 {
     auto const now = boot_clock::now();
-    auto const engines = static_cast<double>(state_.servers_of(admitted_.service_name));
+    auto const engines =
+        static_cast<double>(state_.staying_servers(admitted_.service_name));
     auto const busy = state_.demand(admitted_.service_name, now).prefill_engines();
     auto const age = state_.digest_age().count();
     return engines > 0 ? busy / engines * static_cast<double>(age) : 0;
