--- a/src/domain/api_key.cpp
+++ b/src/domain/api_key.cpp
@@ -1,4 +1,4 @@
-// Hashes keys with OpenSSL's SHA-256.
+// Parsing, generation and salted hashing (OpenSSL's SHA-256) of API keys.
 #include "domain/api_key.hpp"
 
 #include <openssl/crypto.h>
@@ -13,8 +13,8 @@
 namespace
 {
 constexpr std::string_view prefix = "mgc_";
-constexpr std::size_t      secret_bytes = 16;
-constexpr std::size_t      max_key_size = 256;
+constexpr std::size_t      secret_bytes = 16;  // of secrets and of salts
+constexpr std::size_t      max_key_size = 256; // characters
 
 std::string hexadecimal(unsigned char const* bytes, std::size_t size)
 {
--- a/src/domain/api_key.hpp
+++ b/src/domain/api_key.hpp
@@ -1,7 +1,9 @@
-// Keys of callers: `mgc_ID_SECRET`. Only the salted hash of the secret is ever stored,
-// passed on or logged; the key itself ends at the entry VM that received it.
+// API keys of callers, written `mgc_ID_SECRET`: parsing, generation and salted hashing.
 //
 // Index: api_key, parse_api_key, make_api_key, salted_hash, key_matches
+//
+// Only the salted hash of a secret is stored, passed on or logged. The key itself never
+// leaves the entry VM that received it.
 #ifndef MARIGOLDCRANK_DOMAIN_API_KEY_HPP
 #define MARIGOLDCRANK_DOMAIN_API_KEY_HPP
 
@@ -13,29 +15,31 @@
 namespace marigoldcrank
 {
 
-/// A key as a caller presents it.
+/// A key as a caller presents it; made by parse_api_key or make_api_key.
 struct api_key
 {
-    std::string id;     // public; names the rule in [keys]
-    std::string secret; // never leaves the process
+    std::string id;     // public; id of the key's rule in [keys]
+    std::string secret; // hexadecimal if generated; never leaves the process
 };
 
-/// Splits `mgc_ID_SECRET`. Fails with message_failure.
+/// Splits `mgc_ID_SECRET` at its last underscore. Fails with message_failure if the text
+/// has another form or is longer than 256 characters.
 leaf::result<api_key> parse_api_key(std::string_view text);
 
-/// A new random key (128-bit secret from the system's generator).
+/// Generates a key with a random 128-bit secret from OpenSSL's generator.
 api_key make_api_key(std::string const& id);
 
-/// The form that a caller presents.
+/// Returns the key as `mgc_ID_SECRET`.
 std::string format_api_key(api_key const& key);
 
-/// A random salt, 16 bytes in hexadecimal.
+/// Generates a random salt: 16 bytes, written in hexadecimal.
 std::string make_salt();
 
-/// SHA-256 over salt and secret, in hexadecimal.
+/// Returns the SHA-256 of `salt:secret` in hexadecimal.
 std::string salted_hash(std::string_view salt, std::string_view secret);
 
-/// Compares in constant time, so that answers' timing tells nothing about a hash.
+/// Whether `secret` has the salted hash `hash`. The comparison takes constant time, so
+/// that response times reveal nothing about the hash.
 bool key_matches(std::string_view salt, std::string_view hash, std::string_view secret);
 
 } // namespace marigoldcrank
--- a/src/domain/backend_server.hpp
+++ b/src/domain/backend_server.hpp
@@ -1,4 +1,4 @@
-// Backend servers as the platform lists them and as they report themselves.
+// Backend servers (engines and services): the platform's list entry and the load report.
 //
 // Index: 1 engine_role, 2 backend_server, 3 load_report
 #ifndef MARIGOLDCRANK_DOMAIN_BACKEND_SERVER_HPP
@@ -12,43 +12,44 @@
 namespace marigoldcrank
 {
 
-/// What an engine may be used for.
+/// Which phases of a model call an engine runs.
 enum class engine_role
 {
-    mixed,
-    prefill,
-    decode
+    mixed,   // both
+    prefill, // reads prompts and hands them to a decoding engine
+    decode   // generates tokens
 };
 
-/// One backend server of the platform's list.
+/// One entry of the platform's list of backend servers.
 struct backend_server
 {
     std::string  id;
     std::string  host;
     int          port = 0;
     std::string  data_centre;
-    std::string  group;            // engines or services that serve the same
-    bool         cheap = false;    // may be reclaimed with its whole zone
-    bool         leaving = false;  // gets no new work
-    std::string  order_id;         // of the order that bought it, if it was bought
-    bool         starting = false; // bought, and not yet live
-    engine_role  role = engine_role::mixed; // as the server last stated it
-    std::int64_t slots = 0;                 // requests it runs at once; 0: not stated
-    std::int64_t born_unix_ms = 0;          // start of this incarnation; 0: not stated
+    std::string  group;            // its servers serve the same models or service
+    bool         cheap = false;    // the platform may reclaim it, with its whole zone
+    bool         leaving = false;  // is going away and gets no new calls
+    std::string  order_id;         // order that bought it; empty if none did
+    bool         starting = false; // bought, but not live yet
+    engine_role  role = engine_role::mixed; // as the server last reported it
+    std::int64_t slots = 0;                 // requests it runs at once; 0: not reported
+    std::int64_t born_unix_ms = 0; // start of this incarnation, Unix ms; 0: not reported
 
     auto operator<=>(backend_server const&) const = default;
 };
 
-/// Load as an engine reported it; it lags, so read_at says when it was read.
+/// Load of an engine as the engine reports it. The report lags behind the engine's state,
+/// so `lag_ms` and `read_at` tell how old it is.
 struct load_report
 {
-    std::int64_t           running = 0;        // streams in the batch
-    std::int64_t           waiting = 0;        // requests not yet in the batch
-    std::int64_t           prefill_tokens = 0; // prompt tokens still to be computed
-    engine_role            role = engine_role::mixed;
-    std::uint64_t          lag_ms = 0;      // age that the engine itself states
-    bool                   leaving = false; // it says that it will go away
-    boot_clock::time_point read_at{};
+    std::int64_t  running = 0;        // streams in the running batch
+    std::int64_t  waiting = 0;        // requests queued for the batch
+    std::int64_t  prefill_tokens = 0; // prompt tokens that are still to be prefilled
+    engine_role   role = engine_role::mixed;
+    std::uint64_t lag_ms = 0;         // ms; age of the figures as the engine states it
+    bool          leaving = false;    // the engine says that it is going away
+    boot_clock::time_point read_at{}; // when this VM read the report
 
     bool operator==(load_report const&) const = default;
 };
--- a/src/domain/boot_clock.cpp
+++ b/src/domain/boot_clock.cpp
@@ -1,4 +1,4 @@
-// Reads CLOCK_BOOTTIME and CLOCK_REALTIME.
+// Reads CLOCK_BOOTTIME (boot_clock) and CLOCK_REALTIME (Unix time).
 #include "domain/boot_clock.hpp"
 
 #include <ctime>
--- a/src/domain/boot_clock.hpp
+++ b/src/domain/boot_clock.hpp
@@ -1,9 +1,10 @@
-// boot_clock: the only clock that decisions use.
+// Clocks: boot_clock, the only clock that decisions use, and Unix time for reports.
 //
-// Index: boot_clock, millis
+// Index: millis, boot_clock, unix_millis, unix_nanos
 //
-// CLOCK_BOOTTIME counts through a suspended VM and never jumps with wall time, so a
-// lease that lapsed while its holder was asleep is seen as lapsed when it wakes up.
+// CLOCK_BOOTTIME goes on counting while a VM is suspended and doesn't jump with wall
+// time. A lease that expired while its holder was suspended is therefore seen as expired
+// when the holder resumes.
 #ifndef MARIGOLDCRANK_DOMAIN_BOOT_CLOCK_HPP
 #define MARIGOLDCRANK_DOMAIN_BOOT_CLOCK_HPP
 
@@ -15,7 +16,7 @@
 
 using millis = std::chrono::milliseconds;
 
-/// A std::chrono clock over CLOCK_BOOTTIME, in nanoseconds since boot.
+/// A std::chrono clock over CLOCK_BOOTTIME; counts nanoseconds since boot.
 struct boot_clock
 {
     using duration = std::chrono::nanoseconds;
@@ -27,10 +28,10 @@
     static time_point now() noexcept;
 };
 
-/// Wall time in milliseconds since 1970; for reports and spans, never for decisions.
+/// Unix time in milliseconds; for reports and spans, never for decisions.
 std::uint64_t unix_millis() noexcept;
 
-/// Wall time in nanoseconds since 1970, the unit of spans.
+/// Unix time in nanoseconds, the unit of spans.
 std::uint64_t unix_nanos() noexcept;
 
 } // namespace marigoldcrank
--- a/src/domain/caller_call.hpp
+++ b/src/domain/caller_call.hpp
@@ -1,4 +1,4 @@
-// One call of a caller, as an adapter has read it from the wire.
+// A caller's call as the HTTP adapter parsed it: the fields that the serving path needs.
 //
 // Index: 1 prompt_part, 2 caller_call
 #ifndef MARIGOLDCRANK_DOMAIN_CALLER_CALL_HPP
@@ -14,43 +14,45 @@
 namespace marigoldcrank
 {
 
-/// A part of a prompt that other calls may share; engines keep its KV cache under the id.
+/// A part of a prompt that other calls may share. Engines keep its KV cache under its id.
 struct prompt_part
 {
     std::string  id;
-    std::int64_t tokens = 0;
+    std::int64_t tokens = 0; // length
 
     auto operator<=>(prompt_part const&) const = default;
 };
 
-/// What the serving path needs to know of a call; the bytes themselves go on unchanged.
+/// A parsed call. The serving path decides by these fields; the bytes of the call are
+/// forwarded unchanged.
 struct caller_call
 {
-    std::string                 id;       // one an attempt of the caller
-    std::string                 host;     // lower case, without port
-    std::string                 target;   // path and query as sent
-    std::string                 key;      // empty: none was sent
-    std::optional<millis>       patience; // how long the caller will wait; none stated
-    std::vector<prompt_part>    prompt;   // in order; the last is the caller's own
-    std::int64_t                output_tokens = 0; // most that the caller wants
-    std::optional<std::int64_t> stated_tokens;     // prompt and most output; none stated
-    std::string                 resume_after; // id of the last event it has; empty: none
+    std::string              id;       // request id; unique for each try of the caller
+    std::string              host;     // lower case, without port
+    std::string              target;   // path and query as received
+    std::string              key;      // API key; empty: none was sent
+    std::optional<millis>    patience; // how long the caller waits, ms; none: not stated
+    std::vector<prompt_part> prompt;   // in order; only this call has the last part
+    std::int64_t             output_tokens = 0; // max. tokens to generate
+    std::optional<std::int64_t> stated_tokens; // prompt and max. output; none: not stated
+    std::string resume_after; // last event id that the caller has; empty: none
 
     bool operator==(caller_call const&) const = default;
 
-    /// The path without its query.
+    /// The path of `target`, without the query.
     std::string_view path() const
     {
         return std::string_view{target}.substr(0, target.find('?'));
     }
 
-    /// The part that other calls are likeliest to share: the last but the caller's own.
+    /// Id of the part before the last, which ends the longest prefix that other calls may
+    /// share; empty if the prompt has fewer than two parts.
     std::string_view shared_part() const
     {
         return prompt.size() < 2 ? std::string_view{} : prompt[prompt.size() - 2].id;
     }
 
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     std::int64_t prompt_tokens() const
     {
         std::int64_t sum = 0;
@@ -61,7 +63,7 @@
         return sum;
     }
 
-    /// Tokens that no other call can have left in a cache.
+    /// Length of the last part in tokens: no other call can have left it in a cache.
     std::int64_t own_tokens() const
     {
         return prompt.empty() ? 0 : prompt.back().tokens;
--- a/src/domain/configuration.cpp
+++ b/src/domain/configuration.cpp
@@ -1,4 +1,4 @@
-// Reads a rules file into a configuration.
+// Parser of rules files (INI text) with line numbers in its failures.
 //
 // Index: 1 rule lines, 2 fields, 3 sections, 4 cross checks, 5 parse_rules
 #define SI_NO_CONVERSION
@@ -19,7 +19,7 @@
 
 // 1. Rule lines
 
-/// One line of the file before its fields are judged.
+/// One rule of the file before its fields are checked.
 struct rule_line
 {
     std::string section;
@@ -29,6 +29,7 @@
     int         line = 0;
 };
 
+/// `text` without blanks around it and without leading comment marks (; and #).
 std::string trimmed(std::string const& text)
 {
     auto const begin = text.find_first_not_of(" \t\r;#");
@@ -36,8 +37,9 @@
     return begin == std::string::npos ? "" : text.substr(begin, end - begin + 1);
 }
 
-/// First line of each rule, by section and id; SimpleIni gives no line numbers. Built in
-/// one pass: a search for each rule made a file of 27,000 workspaces take minutes.
+/// Line of the first occurrence of each rule, by section and id, as SimpleIni reports no
+/// line numbers. The index is built in one pass over the text: with a search for each
+/// rule, a file with 27,000 workspaces takes minutes to load.
 class line_index
 {
 public:
@@ -51,7 +53,7 @@
         }
     }
 
-    /// 0 if there is no such rule.
+    /// Line from 1, or 0 if there is no such rule.
     int line_of(std::string const& section, std::string const& id) const
     {
         auto const found = lines_.find({section, id});
@@ -79,7 +81,7 @@
     std::map<std::pair<std::string, std::string>, int> lines_;
 };
 
-/// Collects failures while the file is read, so that one run names all bad rules.
+/// Collects the failures of a file, so that one run reports all bad rules.
 struct rule_report
 {
     std::string               file;
@@ -96,6 +98,8 @@
 
 using field_map = std::map<std::string, std::string>;
 
+/// Splits a rule into its `name=value` words. A word that has another form, an unknown
+/// name or a repeated one is reported and left out.
 field_map split_fields(rule_line const& rule, std::set<std::string> const& allowed,
                        rule_report& report)
 {
@@ -109,7 +113,7 @@
         if (equals == std::string::npos || allowed.count(name) == 0 ||
             !fields.emplace(name, word.substr(equals + 1)).second)
         {
-            std::string known = "each of these once, as name=value:";
+            std::string known = "each of these fields at most once, as name=value:";
             for (auto const& field : allowed)
             {
                 known += " " + field;
@@ -120,6 +124,7 @@
     return fields;
 }
 
+/// Reads a field that must be present and not empty.
 void read_text(field_map const& fields, std::string const& name, rule_line const& rule,
                rule_report& report, std::string& target)
 {
@@ -132,12 +137,14 @@
     target = found->second;
 }
 
+/// Both ends are allowed values.
 struct number_range
 {
     std::int64_t lowest;
     std::int64_t highest;
 };
 
+/// Reads an optional whole number; `target` keeps its default if the field is absent.
 void read_number(field_map const& fields, std::string const& name, number_range range,
                  rule_line const& rule, rule_report& report, std::int64_t& target)
 {
@@ -165,6 +172,7 @@
     target = value;
 }
 
+/// Reads an optional `yes` or `no`; `target` keeps its default if the field is absent.
 void read_flag(field_map const& fields, std::string const& name, rule_line const& rule,
                rule_report& report, bool& target)
 {
@@ -196,10 +204,10 @@
 // 3. Sections
 
 constexpr std::int64_t max_weight = 10'000;
-constexpr std::int64_t max_tokens = 1'000'000'000;
-constexpr std::int64_t max_ms = 3'600'000;
-constexpr std::int64_t max_window_s = 86'400;
-constexpr std::int64_t max_servers = 10'000;
+constexpr std::int64_t max_tokens = 1'000'000'000; // a minute
+constexpr std::int64_t max_ms = 3'600'000;         // one hour
+constexpr std::int64_t max_window_s = 86'400;      // one day
+constexpr std::int64_t max_servers = 10'000;       // per data centre
 
 void add_workspace(rule_line const& rule, rule_report& report, configuration& result)
 {
@@ -303,7 +311,8 @@
     if (!workspace.empty() && result.workspaces.count(workspace) == 0)
     {
         rule_line rule{.section = section, .id = id, .line = lines.line_of(section, id)};
-        report.add(rule_fault::unknown_workspace, rule, "an id from [workspaces]");
+        report.add(rule_fault::unknown_workspace, rule,
+                   "the id of a rule in [workspaces]");
     }
 }
 
@@ -346,12 +355,12 @@
         ini.GetAllValues(section.c_str(), key.pItem, values);
         if (values.size() > 1)
         {
-            report.add(rule_fault::repeated_id, rule, "one line for each id");
+            report.add(rule_fault::repeated_id, rule, "one line per id");
         }
         if (rule.requester.empty())
         {
             report.add(rule_fault::no_requester, rule,
-                       "a comment line above it, saying who asked");
+                       "a comment line above the rule that says who asked for it");
         }
         reader->second(rule, report, result);
     }
--- a/src/domain/entry_settings.cpp
+++ b/src/domain/entry_settings.cpp
@@ -1,4 +1,4 @@
-// Settings of an entry VM: one table row an option, and the INI reader over it.
+// Parser of an entry VM's settings: a table with one row per option, and the INI reader.
 //
 // Index: 1 values, 2 table, 3 parsing
 #define SI_NO_CONVERSION
@@ -21,14 +21,15 @@
 
 // 1. Values
 
-constexpr double       most_seconds = 86'400;
-constexpr std::int64_t most_count = 1'000'000;
-constexpr double       most_units = 1e12;
-constexpr double       per_second = 1000;
-constexpr double       per_cent = 100;
-constexpr double       per_mille = 1000;
+constexpr double       max_seconds = 86'400;
+constexpr std::int64_t max_count = 1'000'000;
+constexpr double       max_units = 1e12;
+constexpr double       ms_per_second = 1000;
+constexpr double       percent_scale = 100;
+constexpr double       permille_scale = 1000;
 
-/// A number, fractions allowed; whole text or nothing.
+/// Parses a finite number of at least 0, with or without a fraction. The whole text must
+/// be the number.
 bool parse_number(std::string const& text, double& value)
 {
     auto const [end, error] =
@@ -39,20 +40,21 @@
 
 // 2. Table
 
-using store_value = std::function<bool(entry_settings&, std::string const&)>;
+using value_parser = std::function<bool(entry_settings&, std::string const&)>;
 
-/// One option: where it stands, what is allowed, how it is stored.
+/// One option: its section and key, the allowed values as text for error messages, and
+/// the function that parses and stores a value.
 struct entry_option
 {
-    char const* section;
-    char const* key;
-    char const* allowed;
-    bool        needed;
-    store_value store;
+    char const*  section;
+    char const*  key;
+    char const*  allowed;
+    bool         required; // a file without it is refused
+    value_parser store;
 };
 
-entry_option text(char const* section, char const* key,
-                  std::string entry_settings::*field)
+entry_option text_option(char const* section, char const* key,
+                         std::string entry_settings::*field)
 {
     return {section, key, "text", true,
             [field](entry_settings& value, std::string const& content)
@@ -62,10 +64,10 @@
             }};
 }
 
-entry_option address(char const* section, char const* key, bool needed,
-                     socket_address entry_settings::*field)
+entry_option address_option(char const* section, char const* key, bool required,
+                            socket_address entry_settings::*field)
 {
-    return {section, key, "IP:PORT", needed,
+    return {section, key, "IP:PORT", required,
             [field](entry_settings& value, std::string const& content)
             {
                 return leaf::try_handle_all(
@@ -78,16 +80,16 @@
             }};
 }
 
-/// A time; `unit_ms` is what one of the file's units holds in milliseconds.
-entry_option time(char const* section, char const* key, double unit_ms,
-                  millis entry_settings::*field)
+/// A time; `unit_ms` is the length of the file's unit in milliseconds.
+entry_option time_option(char const* section, char const* key, double unit_ms,
+                         millis entry_settings::*field)
 {
-    return {section, key, "0 or more", false,
+    return {section, key, "0 or more, up to one day", false,
             [field, unit_ms](entry_settings& value, std::string const& content)
             {
                 double number = 0;
                 if (!parse_number(content, number) ||
-                    number * unit_ms > most_seconds * per_second)
+                    number * unit_ms > max_seconds * ms_per_second)
                 {
                     return false;
                 }
@@ -96,7 +98,8 @@
             }};
 }
 
-entry_option flag(char const* section, char const* key, bool entry_settings::*field)
+entry_option flag_option(char const* section, char const* key,
+                         bool entry_settings::*field)
 {
     return {section, key, "true or false", false,
             [field](entry_settings& value, std::string const& content)
@@ -106,14 +109,15 @@
             }};
 }
 
-entry_option count(char const* section, char const* key, double scale,
-                   std::int64_t entry_settings::*field)
+/// A number that is stored as a whole number after multiplication by `scale`.
+entry_option count_option(char const* section, char const* key, double scale,
+                          std::int64_t entry_settings::*field)
 {
     return {section, key, "0 to 1000000", false,
             [field, scale](entry_settings& value, std::string const& content)
             {
                 double number = 0;
-                if (!parse_number(content, number) || number * scale > most_count)
+                if (!parse_number(content, number) || number * scale > max_count)
                 {
                     return false;
                 }
@@ -122,15 +126,15 @@
             }};
 }
 
-/// A number of tokens or calls, which may be far above other counts.
-entry_option units(char const* section, char const* key,
-                   std::int64_t entry_settings::*field)
+/// A number of tokens or calls, for which the limit is higher than for other counts.
+entry_option units_option(char const* section, char const* key,
+                          std::int64_t entry_settings::*field)
 {
     return {section, key, "0 to 1000000000000", false,
             [field](entry_settings& value, std::string const& content)
             {
                 double number = 0;
-                if (!parse_number(content, number) || number > most_units)
+                if (!parse_number(content, number) || number > max_units)
                 {
                     return false;
                 }
@@ -142,42 +146,46 @@
 std::vector<entry_option> const& options()
 {
     static std::vector<entry_option> const table{
-        text("node", "name", &entry_settings::name),
-        text("node", "data_centre", &entry_settings::data_centre),
-        address("node", "callers", true, &entry_settings::callers),
-        address("node", "readiness", true, &entry_settings::readiness),
-        address("node", "metrics", false, &entry_settings::metrics),
-        address("node", "peers", false, &entry_settings::peers),
-        address("node", "records", false, &entry_settings::records),
-        count("node", "cores", per_mille, &entry_settings::capacity),
-        count("node", "mesh", 1, &entry_settings::mesh),
-        flag("node", "first_start", &entry_settings::first_start),
-        address("platform", "store", true, &entry_settings::store),
-        address("platform", "duties", false, &entry_settings::duties),
-        time("bounds", "drain_notice_ms", 1, &entry_settings::drain_notice),
-        time("bounds", "grace_s", per_second, &entry_settings::grace),
-        time("bounds", "key_life_ms", 1, &entry_settings::key_life),
-        flag("bounds", "keys_fail_closed", &entry_settings::keys_fail_closed),
-        time("bounds", "lease_ms", 1, &entry_settings::lease),
-        time("bounds", "usage_window_s", per_second, &entry_settings::usage_window),
-        time("bounds", "usage_due_s", per_second, &entry_settings::usage_due),
-        count("bounds", "retry_ratio", per_cent, &entry_settings::retry_percent),
-        count("bounds", "retry_slack", 1, &entry_settings::retry_slack),
-        time("bounds", "quota_window_s", per_second, &entry_settings::quota_window),
-        count("bounds", "quota_overage", per_mille, &entry_settings::quota_permille),
-        units("bounds", "quota_slack", &entry_settings::quota_slack),
-        flag("policy", "directory", &entry_settings::directory),
-        flag("policy", "fetch", &entry_settings::fetch),
-        flag("policy", "beside", &entry_settings::beside),
-        flag("policy", "handover", &entry_settings::handover),
-        flag("policy", "home", &entry_settings::home),
-        flag("policy", "learn", &entry_settings::learn),
-        flag("policy", "refuse", &entry_settings::refuse),
-        flag("policy", "roles", &entry_settings::roles),
-        flag("policy", "spread", &entry_settings::spread),
-        flag("policy", "warn", &entry_settings::warn),
-        count("logs", "lines_per_s", 1, &entry_settings::log_lines_per_s),
-        count("logs", "sample", 1, &entry_settings::log_sample),
+        text_option("node", "name", &entry_settings::name),
+        text_option("node", "data_centre", &entry_settings::data_centre),
+        address_option("node", "callers", true, &entry_settings::callers),
+        address_option("node", "readiness", true, &entry_settings::readiness),
+        address_option("node", "metrics", false, &entry_settings::metrics),
+        address_option("node", "peers", false, &entry_settings::peers),
+        address_option("node", "records", false, &entry_settings::records),
+        count_option("node", "cores", permille_scale, &entry_settings::capacity),
+        count_option("node", "mesh", 1, &entry_settings::mesh),
+        flag_option("node", "first_start", &entry_settings::first_start),
+        address_option("platform", "store", true, &entry_settings::store),
+        address_option("platform", "duties", false, &entry_settings::duties),
+        time_option("bounds", "drain_notice_ms", 1, &entry_settings::drain_notice),
+        time_option("bounds", "grace_s", ms_per_second, &entry_settings::grace),
+        time_option("bounds", "key_life_ms", 1, &entry_settings::key_life),
+        flag_option("bounds", "keys_fail_closed", &entry_settings::keys_fail_closed),
+        time_option("bounds", "lease_ms", 1, &entry_settings::lease),
+        time_option("bounds", "usage_window_s", ms_per_second,
+                    &entry_settings::usage_window),
+        time_option("bounds", "usage_due_s", ms_per_second, &entry_settings::usage_due),
+        count_option("bounds", "retry_ratio", percent_scale,
+                     &entry_settings::retry_percent),
+        count_option("bounds", "retry_slack", 1, &entry_settings::retry_slack),
+        time_option("bounds", "quota_window_s", ms_per_second,
+                    &entry_settings::quota_window),
+        count_option("bounds", "quota_overage", permille_scale,
+                     &entry_settings::quota_permille),
+        units_option("bounds", "quota_slack", &entry_settings::quota_slack),
+        flag_option("policy", "directory", &entry_settings::directory),
+        flag_option("policy", "fetch", &entry_settings::fetch),
+        flag_option("policy", "beside", &entry_settings::beside),
+        flag_option("policy", "handover", &entry_settings::handover),
+        flag_option("policy", "home", &entry_settings::home),
+        flag_option("policy", "learn", &entry_settings::learn),
+        flag_option("policy", "refuse", &entry_settings::refuse),
+        flag_option("policy", "roles", &entry_settings::roles),
+        flag_option("policy", "spread", &entry_settings::spread),
+        flag_option("policy", "warn", &entry_settings::warn),
+        count_option("logs", "lines_per_s", 1, &entry_settings::log_lines_per_s),
+        count_option("logs", "sample", 1, &entry_settings::log_sample),
     };
     return table;
 }
@@ -226,7 +234,7 @@
     {
         auto const* content = ini.GetValue(option.section, option.key, nullptr);
         bool const  absent = content == nullptr || *content == '\0';
-        if (absent && option.needed)
+        if (absent && option.required)
         {
             return leaf::new_error(setting_failure{setting_fault::missing, file,
                                                    option.section, option.key,
--- a/src/domain/entry_settings.hpp
+++ b/src/domain/entry_settings.hpp
@@ -1,9 +1,9 @@
-// Settings of a daemon on an entry VM of the users' platform, read from INI.
+// Settings of the daemon on an entry VM, read from the INI file that the platform writes.
 //
 // Index: 1 socket_address, 2 entry_settings, 3 parse functions
 //
-// The platform renders this file and may add fields at any time, so unknown keys are
-// ignored here; a known key with a bad value is refused.
+// The platform may add keys to the file at any time, so unknown keys are ignored. A known
+// key with an invalid value is refused.
 #ifndef MARIGOLDCRANK_DOMAIN_ENTRY_SETTINGS_HPP
 #define MARIGOLDCRANK_DOMAIN_ENTRY_SETTINGS_HPP
 
@@ -17,7 +17,7 @@
 namespace marigoldcrank
 {
 
-/// An IP number and a port.
+/// An IP address and a port; port 0 stands for no address.
 struct socket_address
 {
     std::string   host;
@@ -31,65 +31,67 @@
     }
 };
 
-/// Parses "10.1.0.31:8368"; an empty text gives an address with port 0.
+/// Parses "10.1.0.31:8368"; an empty text gives an address with port 0. Fails with
+/// setting_failure.
 leaf::result<socket_address> parse_socket_address(std::string const& text);
 
-/// The reverse; empty for port 0.
+/// Writes `IP:PORT`, or an empty text for port 0.
 std::string format_address(socket_address const& value);
 
-/// All options of one daemon. Times come from the deployment's own bounds.
+/// All options of the daemon, made by parse_entry_settings. The deployment sets the times
+/// in [bounds]. Trailing comments give the default and the meaning; times are in ms.
 struct entry_settings
 {
     // [node]
-    std::string    name;        //          unique among the VMs
-    std::string    data_centre; //          where this VM stands
-    socket_address callers;     //          listens for callers here
-    socket_address readiness;   //          answers the balancer here
-    socket_address metrics;     //          serves metrics here; port 0: not at all
-    socket_address peers;   //          publishes load digests here; port 0: not at all
-    socket_address records; //          answers other VMs here; port 0: not at all
-    std::int64_t   capacity = 0; // 0   thousandths of a core; larger VMs are relays
-    std::int64_t   mesh = 16;    // 16 VMs; above it, relays pass on what they hear
-    bool           first_start = false; //  no VM has run before
+    std::string    name;         // unique among the VMs
+    std::string    data_centre;  // where this VM stands
+    socket_address callers;      // where callers connect
+    socket_address readiness;    // where the balancer reads readiness
+    socket_address metrics;      // where metrics are served; port 0: nowhere
+    socket_address peers;        // where load digests are published; port 0: nowhere
+    socket_address records;      // where other VMs send queries; port 0: nowhere
+    std::int64_t   capacity = 0; // 0  thousandths of a core; larger VMs become relays
+    std::int64_t   mesh = 16;    // 16  VMs; with more, relays forward digests
+    bool           first_start = false; //  no VM of the deployment has run before
     // [platform]
-    socket_address store;  //               the log that keeps what must last
-    socket_address duties; //               takes usage reports and VM orders
+    socket_address store;  // the append-only log with the durable records
+    socket_address duties; // takes usage reports and server orders
     // [bounds]
-    millis       drain_notice{2500}; // 2500 until the balancer has noticed a drain
-    millis       grace{8000};        // 8000 from SIGTERM to the end
-    millis       key_life{5000};     // 5000 keys count no longer than this after a read
-    bool         keys_fail_closed = true; // refuse keyed calls when that has passed
-    millis       lease{3000};        // 3000 validity of one renewal of the duty lease
-    millis       usage_window{5000}; // 5000 length of a usage window
-    millis       usage_due{10000};   // 10000 a window is reported this long after its end
-    std::int64_t retry_percent = 20; // 20   retries a hundred calls, over all VMs
-    std::int64_t retry_slack = 58;   // 58   retries besides, over all VMs
-    millis       quota_window{0};    // 0    window in which quotas are judged; 0: none
-    std::int64_t quota_permille = 0; // 0    thousandths of a quota tolerated beyond it
-    std::int64_t quota_slack = 0;    // 0    units tolerated besides, over all VMs
+    millis       drain_notice{2500}; // 2500  time in which the balancer notices a drain
+    millis       grace{8000};        // 8000  from SIGTERM to the end of the process
+    millis       key_life{5000}; // 5000  how long keys stay valid after they were read
+    bool         keys_fail_closed = true; // true  refuse calls once keys are older
+    millis       lease{3000}; // 3000  how long a renewal of the duty lease is valid
+    millis       usage_window{5000}; // 5000  length of a usage window
+    millis       usage_due{10000}; // 10000  a window is reported this long after its end
+    std::int64_t retry_percent = 20; // 20  retries per 100 calls, over all VMs
+    std::int64_t retry_slack = 58;   // 58  further retries, over all VMs
+    millis       quota_window{0};    // 0  window over which quotas are evaluated; 0: none
+    std::int64_t quota_permille = 0; // 0  overage allowed, in thousandths of the quota
+    std::int64_t quota_slack = 0;    // 0  further units allowed, over all VMs
     // [policy]
-    bool directory = true; // true    calls go where their prompt's parts are cached
-    bool fetch = true;     // true    engines fetch cached parts from each other
-    bool beside = true;    // true    decoding engines read more where streams bear it
-    bool handover = true;  // true    prompts may be read apart and handed over
-    bool home = true;      // true    calls for parts that no engine keeps meet at one
-    bool learn = true;     // true    times of reading are learned from reads
-    bool refuse = true;    // true    calls that would wait far too long are turned away
-    bool roles = true;     // true    engines change their role with the load
-    bool spread = true;    // true    VMs don't all choose the engine that was idlest
-    bool warn = true;      // true    lost servers are heard of from other VMs
+    bool directory = true; // true  calls go to engines with cached parts of their prompt
+    bool fetch = true;     // true  engines fetch cached prompt parts from each other
+    bool beside = true;    // true  decoding engines prefill while streams tolerate it
+    bool handover = true;  // true  prompts may be prefilled elsewhere and handed off
+    bool home = true;      // true  calls that share uncached parts go to the same engine
+    bool learn = true;     // true  prefill times are learned from observed prefills
+    bool refuse = true;    // true  calls with far too long a predicted wait are refused
+    bool roles = true;     // true  the roles of engines follow the load
+    bool spread = true;    // true  VMs don't all choose the engine that was idlest
+    bool warn = true;      // true  VMs learn of lost servers from other VMs
     // [logs]
-    std::int64_t log_lines_per_s = 400; // 400 most lines a second; more are counted
-    std::int64_t log_sample = 8; // 8        one call in so many has all its lines written
+    std::int64_t log_lines_per_s = 400; // 400  max. lines/s; others are only counted
+    std::int64_t log_sample = 8;        // 8  every n-th call has all its lines written
 
     bool operator==(entry_settings const&) const = default;
 };
 
-/// Reads settings. Fails with setting_failure.
+/// Parses the text of the file named `file`. Fails with setting_failure.
 leaf::result<entry_settings> parse_entry_settings(std::string const& text,
                                                   std::string const& file);
 
-/// Reads the file at `path`. Fails with setting_failure.
+/// Reads and parses the file at `path`. Fails with setting_failure.
 leaf::result<entry_settings> load_entry_settings(std::string const& path);
 
 } // namespace marigoldcrank
--- a/src/domain/failure.cpp
+++ b/src/domain/failure.cpp
@@ -1,4 +1,4 @@
-// Stable names of failures.
+// Names of failures as they are written to responses, metrics and spans.
 #include "domain/failure.hpp"
 
 namespace marigoldcrank
--- a/src/domain/order.cpp
+++ b/src/domain/order.cpp
@@ -1,4 +1,4 @@
-// Orders to engines and to the platform.
+// Conversion of orders to and from JSON, and names of roles and duties.
 #include "domain/order.hpp"
 
 #include <nlohmann/json.hpp>
@@ -24,7 +24,8 @@
     return "unknown";
 }
 
-std::string text_of(json const& body, char const* field)
+/// The text field of this name; empty if it is missing or isn't a string.
+std::string text_field(json const& body, char const* field)
 {
     auto const found = body.find(field);
     return found != body.end() && found->is_string() ? found->get<std::string>() : "";
@@ -68,18 +69,19 @@
         return leaf::new_error(message_failure{"order", "not a JSON object"});
     }
     order      value;
-    auto const kind = text_of(body, "kind");
+    auto const kind = text_field(body, "kind");
     if (kind != "role" && kind != "buy" && kind != "dismiss")
     {
-        return leaf::new_error(message_failure{"order", "unknown kind"});
+        return leaf::new_error(
+            message_failure{"order", "unknown kind, expected role, buy or dismiss"});
     }
     value.kind = kind == "role"  ? order_kind::role
                  : kind == "buy" ? order_kind::buy
                                  : order_kind::dismiss;
-    value.server = text_of(body, "server");
-    value.role = parse_engine_role(text_of(body, "role"));
-    value.group = text_of(body, "group");
-    value.data_centre = text_of(body, "data_centre");
+    value.server = text_field(body, "server");
+    value.role = parse_engine_role(text_field(body, "role"));
+    value.group = text_field(body, "group");
+    value.data_centre = text_field(body, "data_centre");
     auto const cheap = body.find("cheap");
     value.cheap = cheap != body.end() && cheap->is_boolean() && cheap->get<bool>();
     return value;
--- a/src/domain/serving_rules.cpp
+++ b/src/domain/serving_rules.cpp
@@ -1,4 +1,4 @@
-// Look-ups in one version of the rules.
+// Indexes and look-ups of one version of the rules.
 #include "domain/serving_rules.hpp"
 
 #include <algorithm>
@@ -13,9 +13,9 @@
     : version_(version), routes_(std::move(routes)), services_(std::move(services)),
       workspaces_(std::move(workspaces)), keyed_(keyed), limits_(limits)
 {
-    for (std::size_t at = 0; at < routes_.size(); ++at)
+    for (std::size_t index = 0; index < routes_.size(); ++index)
     {
-        by_host_[routes_[at].host].push_back(at);
+        by_host_[routes_[index].host].push_back(index);
     }
     for (auto& [host, list] : by_host_)
     {
@@ -25,11 +25,11 @@
                                     routes_[right].path_prefix.size();
                          });
     }
-    for (std::size_t at = 0; at < workspaces_.size(); ++at)
+    for (std::size_t index = 0; index < workspaces_.size(); ++index)
     {
-        for (auto const& key : workspaces_[at].keys)
+        for (auto const& key : workspaces_[index].keys)
         {
-            by_key_.emplace(key, at);
+            by_key_.emplace(key, index);
         }
     }
 }
@@ -59,7 +59,7 @@
 
 std::vector<std::string> serving_rules::keep_quotas(serving_rules const& last)
 {
-    std::vector<std::string> kept;
+    std::vector<std::string> adopted;
     for (auto& each : workspaces_)
     {
         if (each.quota_readable)
@@ -70,9 +70,9 @@
             std::find_if(last.workspaces_.begin(), last.workspaces_.end(),
                          [&](workspace const& other) { return other.name == each.name; });
         each.quota = known == last.workspaces_.end() ? std::nullopt : known->quota;
-        kept.push_back(each.name);
+        adopted.push_back(each.name);
     }
-    return kept;
+    return adopted;
 }
 
 route const* serving_rules::find_route(std::string_view host, std::string_view path) const
@@ -84,7 +84,7 @@
     }
     auto const match = std::find_if(
         found->second.begin(), found->second.end(),
-        [&](std::size_t at) { return path.starts_with(routes_[at].path_prefix); });
+        [&](std::size_t index) { return path.starts_with(routes_[index].path_prefix); });
     return match == found->second.end() ? nullptr : &routes_[*match];
 }
 
@@ -135,16 +135,16 @@
     {
         return value.targets.empty() ? nullptr : &value.targets.front();
     }
-    auto left = tie_break % sum;
+    auto remaining = tie_break % sum;
     for (auto const& target : value.targets)
     {
         auto const weight =
             static_cast<std::uint64_t>(std::max<std::int64_t>(target.weight, 0));
-        if (left < weight)
+        if (remaining < weight)
         {
             return &target;
         }
-        left -= weight;
+        remaining -= weight;
     }
     return &value.targets.back();
 }
--- a/src/domain/settings.cpp
+++ b/src/domain/settings.cpp
@@ -1,4 +1,4 @@
-// Settings: the table of options and the INI reader over it.
+// The table of all options of `settings`, and the INI reader and writer based on it.
 //
 // Index: 1 table, 2 parsing, 3 formatting, 4 peer list
 #define SI_NO_CONVERSION
@@ -23,73 +23,74 @@
 constexpr std::int64_t max_port = 65535;
 constexpr std::int64_t hour_ms = 3'600'000;
 constexpr std::int64_t max_threads = 4096;
-constexpr std::int64_t max_body = 268'435'456;
+constexpr std::int64_t max_body = 268'435'456; // bytes; 256 MiB
 
-constexpr setting_option number(char const* section, char const* key, char const* unit,
-                                char const* meaning, std::int64_t settings::*field,
-                                std::int64_t lowest, std::int64_t highest)
+constexpr setting_option number_option(char const* section, char const* key,
+                                       char const* unit, char const* meaning,
+                                       std::int64_t settings::*field, std::int64_t lowest,
+                                       std::int64_t highest)
 {
     return {section, key, unit, meaning, field, nullptr, lowest, highest};
 }
 
-constexpr setting_option text(char const* section, char const* key, char const* meaning,
-                              std::string settings::*field)
+constexpr setting_option text_option(char const* section, char const* key,
+                                     char const* meaning, std::string settings::*field)
 {
     return {section, key, "text", meaning, nullptr, field, 0, 0};
 }
 
 // clang-format off
 constexpr std::array options{
-    text("node", "name", "unique among the entry VMs", &settings::name),
-    text("node", "data_centre", "where this entry VM stands", &settings::data_centre),
-    text("node", "http_host", "IP number to listen on", &settings::http_host),
-    number("node", "http_port", "port", "port for callers", &settings::http_port, 0, max_port),
-    number("node", "http_threads", "count", "connections served at once", &settings::http_threads, 4, max_threads),
-    number("node", "overflow_threads", "count", "connections refused at once", &settings::overflow_threads, 1, max_threads),
-    number("node", "max_body_bytes", "bytes", "largest request body", &settings::max_body_bytes, 1024, max_body),
-    number("node", "drain_notice_ms", "ms", "still serving though /readyz says no, while the balancer learns of a drain", &settings::drain_notice_ms, 0, hour_ms),
-    number("node", "drain_ms", "ms", "longest graceful shutdown", &settings::drain_ms, 0, hour_ms),
-    number("node", "caller_silence_ms", "ms", "ends a connection whose caller reads nothing", &settings::caller_silence_ms, 100, hour_ms),
-    text("node", "operator_key", "salt$hash of the operators' key", &settings::operator_key),
-    text("peers", "peer_host", "IP number to listen on", &settings::peer_host),
-    number("peers", "peer_port", "port", "port for other entry VMs", &settings::peer_port, 0, max_port),
-    text("peers", "peer_list", "name@host:port, separated by blanks", &settings::peer_list),
-    number("peers", "heartbeat_ms", "ms", "between heartbeats", &settings::heartbeat_ms, 10, hour_ms),
-    number("peers", "peer_dead_ms", "ms", "silence that marks a peer as dead", &settings::peer_dead_ms, 20, hour_ms),
-    text("platform", "platform_host", "IP number of the platform", &settings::platform_host),
-    number("platform", "platform_port", "port", "port of the platform", &settings::platform_port, 1, max_port),
-    number("platform", "platform_timeout_ms", "ms", "for one exchange", &settings::platform_timeout_ms, 10, hour_ms),
-    number("platform", "log_wait_ms", "ms", "long poll of the log", &settings::log_wait_ms, 0, hour_ms),
-    number("platform", "list_every_ms", "ms", "between reads of the VM list", &settings::list_every_ms, 10, hour_ms),
-    number("platform", "load_timeout_ms", "ms", "for one read of a backend server's load", &settings::load_timeout_ms, 10, hour_ms),
-    number("leases", "lease_ms", "ms", "validity of one renewal", &settings::lease_ms, 100, hour_ms),
-    number("leases", "renew_ms", "ms", "between renewals", &settings::renew_ms, 10, hour_ms),
-    number("leases", "drift_ms", "ms", "bound on clock drift within a lease", &settings::drift_ms, 0, hour_ms),
-    number("requests", "progress_ms", "ms", "silence that ends an attempt", &settings::progress_ms, 10, hour_ms),
-    number("requests", "connect_ms", "ms", "to open a connection", &settings::connect_ms, 10, hour_ms),
-    number("requests", "deadline_ms", "ms", "for a whole request", &settings::deadline_ms, 10, hour_ms),
-    number("requests", "max_attempts", "count", "tries of a repeatable request", &settings::max_attempts, 1, 10),
-    number("requests", "load_every_ms", "ms", "between load reads", &settings::load_every_ms, 10, hour_ms),
-    number("requests", "retry_percent", "percent", "retries per 100 admitted requests", &settings::retry_percent, 0, 100),
-    number("requests", "retry_burst", "count", "retries saved up in good times", &settings::retry_burst, 0, 100'000),
-    number("requests", "claim_wait_ms", "ms", "for an intent to be read back", &settings::claim_wait_ms, 10, hour_ms),
-    number("requests", "kept_body_bytes", "bytes", "of an answer kept for a second try", &settings::kept_body_bytes, 0, max_body),
-    number("requests", "poison_keep_ms", "ms", "a suspicion after its last crash", &settings::poison_keep_ms, 10, 24 * hour_ms),
-    number("usage", "usage_flush_ms", "ms", "between usage appends", &settings::usage_flush_ms, 10, hour_ms),
-    number("usage", "window_ms", "ms", "length of a usage window", &settings::window_ms, 100, hour_ms),
-    number("usage", "handoff_ms", "ms", "wait for a peer to keep a delta", &settings::handoff_ms, 1, hour_ms),
-    number("usage", "custody_hold_ms", "ms", "before a peer appends for another", &settings::custody_hold_ms, 10, hour_ms),
-    number("usage", "snapshot_every_ms", "ms", "longest between snapshots of the log", &settings::snapshot_every_ms, 100, hour_ms),
-    number("usage", "snapshot_every_records", "count", "most records between snapshots", &settings::snapshot_every_records, 10, 1'000'000),
-    text("logs", "log_level", "debug, info, warning or error", &settings::log_level),
-    text("logs", "span_file", "spans as JSON lines; empty for none", &settings::span_file),
-    number("logs", "span_keep", "count", "spans kept for explain", &settings::span_keep, 0, 1'000'000),
-    number("orders", "order_timeout_ms", "ms", "for one order", &settings::order_timeout_ms, 10, hour_ms),
-    number("orders", "order_margin_ms", "ms", "a successor's wait for packets in flight", &settings::order_margin_ms, 0, hour_ms),
-    number("orders", "order_notice_ms", "ms", "for all nodes to read of a drain", &settings::order_notice_ms, 0, hour_ms),
-    number("orders", "order_settle_ms", "ms", "until an order without effect is given up", &settings::order_settle_ms, 100, hour_ms),
-    number("orders", "order_every_ms", "ms", "between looks at engines and VM list", &settings::order_every_ms, 10, hour_ms),
-    text("orders", "order_centres", "data centres to buy VMs in; empty: those of the VM list", &settings::order_centres),
+    text_option("node", "name", "unique among the entry VMs", &settings::name),
+    text_option("node", "data_centre", "data centre of this entry VM", &settings::data_centre),
+    text_option("node", "http_host", "IP address to listen on", &settings::http_host),
+    number_option("node", "http_port", "port", "port for callers", &settings::http_port, 0, max_port),
+    number_option("node", "http_threads", "count", "connections served at the same time", &settings::http_threads, 4, max_threads),
+    number_option("node", "overflow_threads", "count", "further connections, refused at the same time", &settings::overflow_threads, 1, max_threads),
+    number_option("node", "max_body_bytes", "bytes", "largest request body", &settings::max_body_bytes, 1024, max_body),
+    number_option("node", "drain_notice_ms", "ms", "serving time after /readyz reports not ready, while the balancer notices a drain", &settings::drain_notice_ms, 0, hour_ms),
+    number_option("node", "drain_ms", "ms", "longest duration of a graceful shutdown", &settings::drain_ms, 0, hour_ms),
+    number_option("node", "caller_silence_ms", "ms", "time without a read by the caller that closes its connection", &settings::caller_silence_ms, 100, hour_ms),
+    text_option("node", "operator_key", "salt$hash of the operators' key", &settings::operator_key),
+    text_option("peers", "peer_host", "IP address to listen on", &settings::peer_host),
+    number_option("peers", "peer_port", "port", "port for other entry VMs", &settings::peer_port, 0, max_port),
+    text_option("peers", "peer_list", "name@host:port, separated by blanks", &settings::peer_list),
+    number_option("peers", "heartbeat_ms", "ms", "interval of heartbeats", &settings::heartbeat_ms, 10, hour_ms),
+    number_option("peers", "peer_dead_ms", "ms", "time without a heartbeat after which a peer counts as dead", &settings::peer_dead_ms, 20, hour_ms),
+    text_option("platform", "platform_host", "IP address of the platform", &settings::platform_host),
+    number_option("platform", "platform_port", "port", "port of the platform", &settings::platform_port, 1, max_port),
+    number_option("platform", "platform_timeout_ms", "ms", "timeout of one exchange", &settings::platform_timeout_ms, 10, hour_ms),
+    number_option("platform", "log_wait_ms", "ms", "longest wait of one long poll of the log", &settings::log_wait_ms, 0, hour_ms),
+    number_option("platform", "list_every_ms", "ms", "interval of reads of the VM list", &settings::list_every_ms, 10, hour_ms),
+    number_option("platform", "load_timeout_ms", "ms", "timeout of one read of a backend server's load", &settings::load_timeout_ms, 10, hour_ms),
+    number_option("leases", "lease_ms", "ms", "time that a renewal of a lease is valid", &settings::lease_ms, 100, hour_ms),
+    number_option("leases", "renew_ms", "ms", "interval of renewals", &settings::renew_ms, 10, hour_ms),
+    number_option("leases", "drift_ms", "ms", "largest clock drift during a lease", &settings::drift_ms, 0, hour_ms),
+    number_option("requests", "progress_ms", "ms", "time without progress that ends an attempt", &settings::progress_ms, 10, hour_ms),
+    number_option("requests", "connect_ms", "ms", "timeout of opening a connection", &settings::connect_ms, 10, hour_ms),
+    number_option("requests", "deadline_ms", "ms", "longest duration of a request", &settings::deadline_ms, 10, hour_ms),
+    number_option("requests", "max_attempts", "count", "attempts of a repeatable request", &settings::max_attempts, 1, 10),
+    number_option("requests", "load_every_ms", "ms", "interval of load reads", &settings::load_every_ms, 10, hour_ms),
+    number_option("requests", "retry_percent", "percent", "retries per 100 admitted requests", &settings::retry_percent, 0, 100),
+    number_option("requests", "retry_burst", "count", "retries saved up while few are needed", &settings::retry_burst, 0, 100'000),
+    number_option("requests", "claim_wait_ms", "ms", "longest wait until an intent is read back from the log", &settings::claim_wait_ms, 10, hour_ms),
+    number_option("requests", "kept_body_bytes", "bytes", "largest response body kept for a repeated request", &settings::kept_body_bytes, 0, max_body),
+    number_option("requests", "poison_keep_ms", "ms", "time that a suspicion is kept after its last crash", &settings::poison_keep_ms, 10, 24 * hour_ms),
+    number_option("usage", "usage_flush_ms", "ms", "interval of usage appends", &settings::usage_flush_ms, 10, hour_ms),
+    number_option("usage", "window_ms", "ms", "length of a usage window", &settings::window_ms, 100, hour_ms),
+    number_option("usage", "handoff_ms", "ms", "longest wait for a peer to confirm that it keeps a delta", &settings::handoff_ms, 1, hour_ms),
+    number_option("usage", "custody_hold_ms", "ms", "wait before a peer appends the usage of another node", &settings::custody_hold_ms, 10, hour_ms),
+    number_option("usage", "snapshot_every_ms", "ms", "longest time between snapshots of the log", &settings::snapshot_every_ms, 100, hour_ms),
+    number_option("usage", "snapshot_every_records", "count", "largest number of records between snapshots", &settings::snapshot_every_records, 10, 1'000'000),
+    text_option("logs", "log_level", "debug, info, warning or error", &settings::log_level),
+    text_option("logs", "span_file", "spans as JSON lines; empty for none", &settings::span_file),
+    number_option("logs", "span_keep", "count", "spans kept in memory for explain", &settings::span_keep, 0, 1'000'000),
+    number_option("orders", "order_timeout_ms", "ms", "timeout of one order", &settings::order_timeout_ms, 10, hour_ms),
+    number_option("orders", "order_margin_ms", "ms", "wait of a new lease holder for packets in flight", &settings::order_margin_ms, 0, hour_ms),
+    number_option("orders", "order_notice_ms", "ms", "time in which all nodes read of a drain", &settings::order_notice_ms, 0, hour_ms),
+    number_option("orders", "order_settle_ms", "ms", "time after which an order without effect is given up", &settings::order_settle_ms, 100, hour_ms),
+    number_option("orders", "order_every_ms", "ms", "interval of checks of engines and VM list", &settings::order_every_ms, 10, hour_ms),
+    text_option("orders", "order_centres", "data centres to buy VMs in; empty: those of the VM list", &settings::order_centres),
 };
 // clang-format on
 
--- a/src/domain/span.cpp
+++ b/src/domain/span.cpp
@@ -1,4 +1,4 @@
-// Trace ids and the W3C traceparent header.
+// Random trace ids, and parsing and writing of the W3C traceparent header.
 #include "domain/span.hpp"
 
 #include <algorithm>
--- a/src/domain/span.hpp
+++ b/src/domain/span.hpp
@@ -1,6 +1,7 @@
-// One hop of one request, as in OpenTelemetry's published JSON form.
+// Trace spans of requests, with the fields of OpenTelemetry's JSON form, and trace
+// context.
 //
-// Index: span, span_attribute, trace_context, parse_traceparent
+// Index: trace_context, span_attribute, span, parse_traceparent, random_id
 #ifndef MARIGOLDCRANK_DOMAIN_SPAN_HPP
 #define MARIGOLDCRANK_DOMAIN_SPAN_HPP
 
@@ -12,7 +13,8 @@
 namespace marigoldcrank
 {
 
-/// Trace and span ids in hexadecimal (32 and 16 digits).
+/// Ids of a trace and of the parent span, in hexadecimal (32 and 16 digits); made by
+/// parse_traceparent. An empty span id stands for no parent.
 struct trace_context
 {
     std::string trace_id;
@@ -21,6 +23,7 @@
     bool operator==(trace_context const&) const = default;
 };
 
+/// One attribute of a span, as text.
 struct span_attribute
 {
     std::string name;
@@ -29,6 +32,7 @@
     bool operator==(span_attribute const&) const = default;
 };
 
+/// One timed step of a request, made by the part of the program that carries it out.
 struct span
 {
     std::string                 trace_id;
@@ -36,20 +40,21 @@
     std::string                 parent_id;
     std::string                 request_id;
     std::string                 name;      // accept, authorise, route, dispatch, ...
-    std::uint64_t               begin = 0; // unix nanoseconds
-    std::uint64_t               end = 0;   // unix nanoseconds
+    std::uint64_t               begin = 0; // Unix time, ns
+    std::uint64_t               end = 0;   // Unix time, ns
     std::vector<span_attribute> attributes;
 
     bool operator==(span const&) const = default;
 };
 
-/// Reads a traceparent header, or makes a new trace if it is absent or malformed.
+/// Parses a traceparent header. For an empty or malformed one, returns a new random trace
+/// id and no span id.
 trace_context parse_traceparent(std::string_view header);
 
-/// The header to send on, with `span_id` as the parent of the next hop.
+/// Writes the traceparent header for the next hop, with `span_id` as the parent.
 std::string format_traceparent(trace_context const& context);
 
-/// Random hexadecimal digits from a per-thread generator; not for secrets.
+/// Random hexadecimal digits from a per-thread generator that isn't fit for secrets.
 std::string random_id(std::size_t digits);
 
 } // namespace marigoldcrank
--- a/src/domain/true_clock.hpp
+++ b/src/domain/true_clock.hpp
@@ -1,5 +1,4 @@
-// The time of day as far as it can be trusted, for windows that must be cut alike on all
-// VMs.
+// true_clock: Unix time without steps of the system clock, for usage windows.
 //
 // Index: true_clock
 #ifndef MARIGOLDCRANK_DOMAIN_TRUE_CLOCK_HPP
@@ -12,21 +11,25 @@
 namespace marigoldcrank
 {
 
-/// Follows slow corrections of the time of day and ignores a step of it. Failure guarded
-/// against: the clock of a VM jumps by seconds and back; calls counted meanwhile would
-/// fall into the wrong usage window, and bills of two windows would be off. Pure.
+/// Estimates Unix time from the boot clock and the system clock. It follows corrections
+/// of up to 250 ms at a time and ignores a larger step until it has lasted 120 s. Usage
+/// windows must begin and end alike on all VMs: if the clock of a VM jumped by seconds
+/// and back, calls counted in between would fall into the wrong window, and the bills of
+/// two windows would be wrong. The class reads no clock itself.
 class true_clock
 {
 public:
-    /// What the clocks show now; the estimate in ms since 1970.
+    /// Takes the present readings of both clocks and returns the estimate, Unix time in
+    /// ms.
     std::int64_t read(boot_clock::time_point boot, std::int64_t unix_ms)
     {
         auto const boot_ms =
             std::chrono::duration_cast<millis>(boot.time_since_epoch()).count();
         auto const offset = unix_ms - boot_ms;
-        auto const off = offset - offset_;
-        bool const near = off <= most_drift.count() && -off <= most_drift.count();
-        if (!known_ || near || (stepped_ && boot - since_ > believed_after))
+        auto const deviation = offset - offset_;
+        bool const small =
+            deviation <= max_correction.count() && -deviation <= max_correction.count();
+        if (!known_ || small || (stepped_ && boot - stepped_since_ > accept_step_after))
         {
             known_ = true;
             stepped_ = false;
@@ -35,27 +38,27 @@
         else if (!stepped_)
         {
             stepped_ = true;
-            since_ = boot;
+            stepped_since_ = boot;
         }
         return boot_ms + offset_;
     }
 
-    /// True while the time of day is off from the estimate.
+    /// Whether the system clock has stepped away from the estimate.
     bool stepped() const noexcept
     {
         return stepped_;
     }
 
 private:
-    // 250   ms; more than clocks are corrected by at a time, less than a step matters for
-    static constexpr millis most_drift{250};
-    // 120000 ms; a new time that stays for so long was a correction
-    static constexpr millis believed_after{120000};
+    // 250    ms; above the usual corrections of a clock and below a step that matters
+    static constexpr millis max_correction{250};
+    // 120000 ms; a step that lasts longer is accepted as a correction
+    static constexpr millis accept_step_after{120000};
 
     bool                   known_ = false;
-    bool                   stepped_ = false; // and the new time isn't believed yet
-    std::int64_t           offset_ = 0;      // ms from boot to 1970
-    boot_clock::time_point since_{};         // of the step
+    bool                   stepped_ = false; // a step was seen and isn't accepted yet
+    std::int64_t           offset_ = 0;      // Unix time minus boot time, ms
+    boot_clock::time_point stepped_since_{}; // boot time of the step
 };
 
 } // namespace marigoldcrank
--- a/src/domain/vm_contact.hpp
+++ b/src/domain/vm_contact.hpp
@@ -1,4 +1,4 @@
-// Where the other entry VMs find one of them.
+// Addresses and properties by which an entry VM makes itself known to the other VMs.
 //
 // Index: vm_contact
 #ifndef MARIGOLDCRANK_DOMAIN_VM_CONTACT_HPP
@@ -11,12 +11,13 @@
 namespace marigoldcrank
 {
 
-/// Addresses are "IP:PORT"; empty: not offered.
+/// One entry VM as the others see it. Addresses are "IP:PORT"; an empty one means that
+/// the VM doesn't offer the service.
 struct vm_contact
 {
-    std::string  digests;      // publishes load digests here
-    std::string  records;      // answers reads of the store's topics here
-    std::string  data_centre;  // where it stands
+    std::string  digests;      // where it publishes load digests
+    std::string  records;      // where it answers reads of the store's topics
+    std::string  data_centre;  // its data centre
     std::int64_t capacity = 0; // thousandths of a core
 
     bool operator==(vm_contact const&) const = default;
--- a/src/ports/backend_port.hpp
+++ b/src/ports/backend_port.hpp
@@ -1,6 +1,8 @@
-// What the application needs of backend servers, as concepts.
+// backend_port: the calls to engines and services that the application makes, as a
+// concept.
 //
-// Index: 1 stream_event, 2 engine_call, 3 service_call, 4 event_verdict, 5 backend_port
+// Index: 1 stream_event, 2 engine_call, 3 service_call, service_answer, 4 event_verdict,
+//        5 backend_port
 #ifndef MARIGOLDCRANK_PORTS_BACKEND_PORT_HPP
 #define MARIGOLDCRANK_PORTS_BACKEND_PORT_HPP
 
@@ -15,36 +17,36 @@
 namespace marigoldcrank
 {
 
-/// One event of an engine's stream. Events of another request or attempt, or out of
-/// sequence, are told apart by the first three fields.
+/// One event of an engine's stream. The first three fields identify events that belong to
+/// another request or attempt or are out of sequence.
 struct stream_event
 {
     std::string   request_id;
     std::uint64_t attempt = 0;
-    std::uint64_t sequence = 0;      // from 0, one a token
+    std::uint64_t sequence = 0;      // from 0, one per token
     std::string   text;              // the token; empty in the closing event
-    bool          last = false;      // the engine's own end marker
-    bool          cancelled = false; // with `last`: ended because it was told to
-    std::uint64_t prompt_tokens = 0; // with `last`
-    std::uint64_t output_tokens = 0; // with `last`
+    bool          last = false;      // the engine's end marker
+    bool          cancelled = false; // with `last`: the engine was asked to stop
+    std::uint64_t prompt_tokens = 0; // with `last`: length of the prompt
+    std::uint64_t output_tokens = 0; // with `last`: tokens generated
 
     bool operator==(stream_event const&) const = default;
 };
 
-/// One attempt at a model call.
+/// One attempt of a model call at an engine.
 struct engine_call
 {
-    std::string            request_id;
-    std::uint64_t          attempt = 1;
-    std::uint64_t          resume_from = 0; // first sequence still wanted
-    std::string            path;            // /v1/chat/completions or /v1/completions
-    std::string            body; // as the caller sent it, less what names the caller
-    std::string            traceparent;
-    std::string            workspace; // for the engine's priorities; never the key
+    std::string   request_id;
+    std::uint64_t attempt = 1;
+    std::uint64_t resume_from = 0; // first sequence number that is still needed
+    std::string   path;            // /v1/chat/completions or /v1/completions
+    std::string   body; // the caller's, without the fields that identify the caller
+    std::string   traceparent;
+    std::string   workspace; // for the engine's priorities; never the API key
     boot_clock::time_point deadline = boot_clock::time_point::max(); // ends the attempt
 };
 
-/// A call of a plain service.
+/// One attempt of a call at a plain service.
 struct service_call
 {
     std::string            request_id;
@@ -56,47 +58,51 @@
     boot_clock::time_point deadline = boot_clock::time_point::max(); // ends the call
 };
 
+/// The HTTP response of a plain service.
 struct service_answer
 {
-    int         status = 0;
+    int         status = 0; // HTTP status
     std::string content_type;
     std::string body;
 
     bool operator==(service_answer const&) const = default;
 };
 
-/// What an event was worth to the request.
+/// What an event means for the progress of the attempt.
 enum class event_verdict
 {
-    progress, // a token of its own, or its end marker: the progress timeout starts again
-    no_progress,
-    complete // nothing more is wanted; the stream gets a moment to end in good order
+    progress,    // a new token or the end marker: the progress timeout starts again
+    no_progress, // an event that doesn't belong to the attempt: the timeout runs on
+    complete // no further event is needed; the stream gets a short time to end by itself
 };
 
+/// Receives each event of a stream.
 using event_sink = std::function<event_verdict(stream_event const&)>;
 
-/// Exchanges with backend servers. All calls block; `stream` calls the sink for each
+/// Exchanges with backend servers. All functions block; `stream` calls the sink for each
 /// event on the calling thread.
 template <class Backend>
 concept backend_port = requires(Backend& backend, backend_server const& server,
                                 engine_call const& call, service_call const& service,
                                 event_sink const& sink)
 {
-    /// Fails with transport_failure: not_connected means that the engine got nothing,
-    /// answer_lost that the connection broke, silent that progress or deadline ran out.
+    /// Streams an attempt. Fails with transport_failure: not_connected means that the
+    /// engine received nothing, answer_lost that the connection broke, silent that there
+    /// was no progress in time or that the deadline passed.
     {
         backend.stream(server, call, sink)
         } -> std::same_as<leaf::result<void>>;
-    /// Fails with transport_failure; not_connected means that the service got nothing.
+    /// Calls a plain service. Fails with transport_failure; not_connected means that the
+    /// service received nothing.
     {
         backend.call(server, service)
         } -> std::same_as<leaf::result<service_answer>>;
-    /// Stops an attempt at the engine, which then sends its closing event; lost cancels
-    /// only cost the engine's time.
+    /// Stops an attempt at the engine, which then sends its closing event. If a cancel is
+    /// lost, the engine only spends time in vain.
     {
         backend.cancel(server, call.request_id, call.attempt)
         } -> std::same_as<void>;
-    /// Fails with transport_failure or message_failure.
+    /// Reads the load of an engine. Fails with transport_failure or message_failure.
     {
         backend.load(server)
         } -> std::same_as<leaf::result<load_report>>;
--- a/src/ports/duty_port.hpp
+++ b/src/ports/duty_port.hpp
@@ -1,4 +1,5 @@
-// Calls to the platform that only the holder of the duty lease makes.
+// duty_port: requests to the platform and to engines that only the holder of the duty
+// lease makes, as a concept.
 //
 // Index: 1 duty_sender, 2 duty_outcome, 3 server_order, 4 duty_port
 #ifndef MARIGOLDCRANK_PORTS_DUTY_PORT_HPP
@@ -16,34 +17,37 @@
 namespace marigoldcrank
 {
 
-/// Who calls, under which authority, and until when.
+/// The sender of a request: its name, its fencing token and how long it may send.
 struct duty_sender
 {
-    std::string                           holder;    // name of the VM
-    std::uint64_t                         epoch = 0; // fencing token
-    std::chrono::steady_clock::time_point until{};   // no byte leaves later
+    std::string   holder;    // name of the VM that holds the duty lease
+    std::uint64_t epoch = 0; // fencing token
+    std::chrono::steady_clock::time_point until{}; // no byte is sent later
 
     bool operator==(duty_sender const&) const = default;
 };
 
+/// Result of a request of a duty.
 enum class duty_outcome
 {
     accepted,
-    refused,  // now; may be tried again
-    no_answer // may have been accepted; only an exact repeat is safe
+    refused,  // refused for now; may be sent again
+    no_answer // may have been accepted; only an identical request may follow
 };
 
-/// An order for servers of one service in one data centre.
+/// An order for a number of servers of one service in one data centre.
 struct server_order
 {
     std::string  service;
     std::string  data_centre;
     std::int64_t count = 0;
-    bool         cheap = false; // of the kind that may be taken back
+    bool         cheap = false; // true: of the kind that the platform may reclaim
 
     auto operator<=>(server_order const&) const = default;
 };
 
+/// Requests of the duty holder. `report_usage` reports the counts of a usage window,
+/// `order_servers` orders servers of a service, `order_role` orders a role of an engine.
 template <class Duties>
 concept duty_port = requires(Duties& duties, duty_sender const& sender,
                              std::int64_t window, usage_counts const& counts,
--- a/src/ports/log_store_port.hpp
+++ b/src/ports/log_store_port.hpp
@@ -1,10 +1,10 @@
-// What the serving path needs of the store that keeps what must last: an append-only log.
+// log_store_port: the append-only log with the durable records, as a concept.
 //
 // Index: 1 records, 2 outcomes, 3 log_store_port
 //
-// Topics have one partition here. An append may be made conditional on the topic's end;
-// one without an answer may have taken effect, or may do so later while its condition
-// holds.
+// A topic has one partition. An append may be conditional on the offset of the topic's
+// end. An append without a response may have taken effect, or may do so later as long as
+// its condition holds.
 #ifndef MARIGOLDCRANK_PORTS_LOG_STORE_PORT_HPP
 #define MARIGOLDCRANK_PORTS_LOG_STORE_PORT_HPP
 
@@ -22,64 +22,68 @@
 namespace marigoldcrank
 {
 
-/// Records read from one offset on, in order.
+/// Records of a topic from one offset on, in order: the result of a read.
 struct log_chunk
 {
-    std::uint64_t            from = 0;  // offset of the first record here
-    std::uint64_t            end = 0;   // the topic's end when the read was answered
-    std::uint64_t            first = 0; // oldest that is still kept
-    std::vector<std::string> records;   // an empty one tells nothing new
-    bool                     relayed = false; // by another VM, which has waited for news
-    millis age{0}; // what it tells was true so long before the read was sent; negative:
-                   // still so long after
+    std::uint64_t from = 0;           // offset of the first record here
+    std::uint64_t end = 0;            // the topic's end at the time of the response
+    std::uint64_t first = 0;          // offset of the oldest record that is still stored
+    std::vector<std::string> records; // empty: no new record
+    bool   relayed = false;           // sent by another VM, which has waited for updates
+    millis age{0}; // ms; the content was current this long before the read was sent;
+                   // negative: it was still current this long after
 
     bool operator==(log_chunk const&) const = default;
 };
 
-/// A record of a keyed topic.
+/// One record of a keyed topic, in which the newest record of a key counts.
 struct keyed_record
 {
     std::string                key;
-    std::optional<std::string> value; // none: the key was dropped
+    std::optional<std::string> value; // none: the key was removed
     std::uint64_t              offset = 0;
 
     bool operator==(keyed_record const&) const = default;
 };
 
-/// Newest records of a keyed topic, one page.
+/// One page of the newest records of a keyed topic.
 struct keyed_page
 {
     std::vector<keyed_record> records;
-    std::uint64_t             end = 0; // read on from here
-    bool                      more = false;
+    std::uint64_t             end = 0;      // offset from which to read on
+    bool                      more = false; // further pages follow
 
     bool operator==(keyed_page const&) const = default;
 };
 
-/// Why a call to the store brought nothing.
+/// Why a request to the store failed, and what is known about its effect.
 enum class store_fault
 {
-    unreachable, // no connection, or none in time: nothing was done
-    refused,     // turned away: nothing was done
-    no_answer,   // sent, and no whole answer came: may have been done, or be done later
-    malformed,   // an answer that can't be read
-    moved,       // a conditional append found another end: nothing was done
-    trimmed      // the records asked for are no longer kept
+    unreachable, // no connection, or not in time: nothing was done
+    refused,     // the store refused: nothing was done
+    no_answer,   // sent, but no complete response: may be done now or later
+    malformed,   // the response can't be parsed
+    moved,       // the topic's end differs from the append's condition: nothing was done
+    trimmed      // the requested records are no longer stored
 };
 
-/// A failed call to the store.
+/// A failed request to the store.
 struct store_failure
 {
     store_fault   fault = store_fault::unreachable;
-    std::uint64_t offset = 0; // moved: the end; trimmed: the first offset kept
+    std::uint64_t offset = 0; // moved: the topic's end; trimmed: the first offset stored
 
     bool operator==(store_failure const&) const = default;
 };
 
+/// The result of a request to the store, or why it failed.
 template <class Value>
 using store_result = std::variant<Value, store_failure>;
 
-/// Each concurrent use goes over a lane (a connection) of its own, picked by number.
+/// Append, read and listing of the newest record per key. Each concurrent user has a lane
+/// (a connection) of its own, given by number. `append` returns the offset of the new
+/// records; with `at`, it appends only if the topic ends there. `read` waits up to `wait`
+/// for a record. `newest` returns the page of records after a key.
 template <class Store>
 concept log_store_port = requires(Store& store, std::string const& topic,
                                   std::vector<std::string> const& records,
--- a/src/ports/order_port.hpp
+++ b/src/ports/order_port.hpp
@@ -1,4 +1,4 @@
-// What the duties need to give orders and to read the truth about them, as concepts.
+// order_port, engine_state_port: sending orders and reading engines' states, as concepts.
 //
 // Index: 1 order_message, 2 order_answer, 3 order_port, 4 engine_state_port
 #ifndef MARIGOLDCRANK_PORTS_ORDER_PORT_HPP
@@ -15,28 +15,29 @@
 namespace marigoldcrank
 {
 
-/// One order on its way to an engine or to the platform.
+/// One order as it is sent to an engine or to the platform.
 struct order_message
 {
-    std::string   host; // IP number
+    std::string   host; // IP address
     int           port = 0;
     std::string   path;
     std::string   body; // JSON
     std::string   order_id;
-    std::uint64_t fence = 0; // epoch of the sender's lease
+    std::uint64_t fence = 0; // fencing number: epoch of the sender's lease
 };
 
+/// The HTTP response to an order.
 struct order_answer
 {
-    int         status = 0;
+    int         status = 0; // HTTP status
     std::string body;
 
     bool operator==(order_answer const&) const = default;
 };
 
-/// Sends one order under a lease. No byte of it leaves this process, nor its kernel,
-/// after `valid_until`. Fails with transport_failure; not_connected means that the other
-/// side got nothing, any other fault that it may have got the order.
+/// Sends one order under a lease. Neither the process nor its kernel sends a byte of it
+/// after `valid_until`. Fails with transport_failure: not_connected means that the
+/// receiver got nothing, any other fault that it may have got the order.
 template <class Orders>
 concept order_port = requires(Orders& orders, order_message const& message,
                               boot_clock::time_point valid_until)
@@ -46,7 +47,8 @@
         } -> std::same_as<leaf::result<order_answer>>;
 };
 
-/// Reads an engine's own state. Fails with transport_failure or message_failure.
+/// Reads the state that an engine reports. Fails with transport_failure or
+/// message_failure.
 template <class Engines>
 concept engine_state_port = requires(Engines& engines, backend_server const& server)
 {
--- a/src/ports/peer_port.hpp
+++ b/src/ports/peer_port.hpp
@@ -1,4 +1,4 @@
-// What the application needs of the other entry VMs.
+// peer_port: messages to the other entry VMs, as a concept.
 //
 // Index: peer_port
 #ifndef MARIGOLDCRANK_PORTS_PEER_PORT_HPP
@@ -16,20 +16,21 @@
 namespace marigoldcrank
 {
 
-/// Messages may be lost, doubled or late; every message says a state, never a step.
+/// Sends messages to peers. Messages may be lost, duplicated or delayed, so each message
+/// states a state, never a step.
 template <class Peers>
 concept peer_port = requires(Peers& peers, wire::peer_message const& message,
                              std::string const& name)
 {
-    /// To all peers; returns at once.
+    /// Sends to all peers; returns at once.
     {
         peers.broadcast(message)
         } -> std::same_as<void>;
-    /// To one peer; returns at once.
+    /// Sends to one peer; returns at once.
     {
         peers.send(name, message)
         } -> std::same_as<void>;
-    /// Names of the peers heard of within peer_dead_ms.
+    /// Names of the peers that sent a message within peer_dead_ms.
     {
         peers.live()
         } -> std::same_as<std::vector<std::string>>;
--- a/tests/property/parsers_property_test.cpp
+++ b/tests/property/parsers_property_test.cpp
@@ -1,5 +1,5 @@
-// Parsers of rules, settings, peer messages and log records: what they write they read
-// back, and no bytes whatever make them crash or accept nonsense.
+// Parsers of rules, settings, peer messages and log records: they read back what was
+// written, refuse invalid input, and no input makes them crash.
 #include "domain/configuration.hpp"
 #include "domain/settings.hpp"
 #include "ledger/ledger.hpp"
@@ -7,7 +7,7 @@
 
 #include <gtest/gtest.h>
 
-// After GoogleTest, whose names it uses without including it.
+// RapidCheck's header must follow GoogleTest's, which it uses without including it.
 #include <rapidcheck/gtest.h>
 
 namespace marigoldcrank
@@ -15,6 +15,7 @@
 namespace
 {
 
+/// Whether `parse` succeeds.
 template <class Parse>
 bool parses(Parse&& parse)
 {
@@ -27,7 +28,7 @@
         [] { return false; });
 }
 
-/// A word as ids of rules use them.
+/// Generates a word of characters that rule ids may have.
 rc::Gen<std::string> word()
 {
     return rc::gen::nonEmpty(
--- a/tests/unit/entry_settings_test.cpp
+++ b/tests/unit/entry_settings_test.cpp
@@ -1,4 +1,5 @@
-// Settings of an entry VM: what is taken, what is refused, and with which error.
+// Settings of an entry VM: which keys are read, which values are refused, and the error
+// that names them.
 #include "domain/entry_settings.hpp"
 
 #include <gtest/gtest.h>
@@ -35,7 +36,7 @@
     return text.replace(text.find(from), from.size(), to);
 }
 
-TEST(entry_settings, known_keys_are_read_and_unknown_ones_ignored)
+TEST(entry_settings, known_keys_are_read_and_unknown_keys_ignored)
 {
     ASSERT_FALSE(failure_of(good));
     auto const value = leaf::try_handle_all(
@@ -48,7 +49,7 @@
     EXPECT_EQ(value.lease, millis{3000});
 }
 
-TEST(entry_settings, a_missing_key_is_named)
+TEST(entry_settings, a_missing_required_key_is_reported)
 {
     auto const failure = failure_of(with("store = 10.0.0.2:90", ""));
     ASSERT_TRUE(failure);
@@ -57,7 +58,7 @@
     EXPECT_EQ(failure->allowed, "IP:PORT");
 }
 
-TEST(entry_settings, bad_values_are_refused_with_what_is_allowed)
+TEST(entry_settings, invalid_values_are_refused_with_their_key)
 {
     struct bad_value
     {
--- a/tests/unit/true_clock_test.cpp
+++ b/tests/unit/true_clock_test.cpp
@@ -1,4 +1,4 @@
-// The time of day under steps, drift and corrections.
+// true_clock under steps, drift and corrections of the system clock.
 #include "domain/true_clock.hpp"
 
 #include <gtest/gtest.h>
@@ -15,9 +15,9 @@
     return boot_clock::time_point{millis{ms}};
 }
 
-// A VM's clock jumps three seconds ahead and back after eight. Its calls must go on being
-// counted in the windows in which they began to run.
-TEST(true_clock, a_step_and_its_return_change_nothing)
+// A VM's clock jumps three seconds ahead and eight seconds later back. Calls must still
+// be counted in the usage windows in which they began to run.
+TEST(true_clock, a_temporary_step_is_ignored)
 {
     true_clock clock;
     for (std::int64_t ms = 0; ms < 20'000; ms += 100)
@@ -39,7 +39,7 @@
     }
 }
 
-TEST(true_clock, a_time_that_stays_is_believed_in_the_end)
+TEST(true_clock, a_lasting_step_is_accepted)
 {
     true_clock clock;
     clock.read(at(0), start_ms);
