--- a/src/ledger/call_fold.cpp
+++ b/src/ledger/call_fold.cpp
@@ -1,4 +1,4 @@
-// Fold of the calls that may not be repeated.
+// Fold of the log records about non-idempotent calls.
 #include "ledger/call_fold.hpp"
 
 #include "wire.pb.h"
@@ -10,7 +10,8 @@
 
 namespace
 {
-/// An unknown number comes from a later version: the outcome is then unknown here.
+/// Maps the stored number to a phase. A number that this version doesn't know was written
+/// by a later version; its outcome counts as unknown.
 call_phase phase_of(std::uint32_t number)
 {
     return number == 0   ? call_phase::intended
@@ -21,8 +22,8 @@
 
 bool call_fold::apply(std::uint64_t offset, wire::call_intent const& intent)
 {
-    // An append that was given up on can take effect after the release that its owner
-    // wrote for it. Nobody will dispatch it, so it must not hold the key.
+    // An append that its owner has abandoned can take effect after the owner's release of
+    // the key. Nobody dispatches that call, so its intent must not hold the key.
     if (released_.count(intent.request_id()) != 0)
     {
         return false;
@@ -50,8 +51,8 @@
 
 bool call_fold::apply(std::uint64_t offset, wire::call_result const& result)
 {
-    // Its intent may have expired from the log before a reader started: the result alone
-    // holds the key as well.
+    // The intent may have been truncated from the log before this reader started. The
+    // result alone then holds the key.
     auto& entry = entries_[result.key_hash()];
     if (entry.request_id.empty())
     {
@@ -72,8 +73,9 @@
     return true;
 }
 
-/// Bodies would make every snapshot of the log as large as the answers of a whole
-/// retention time; the oldest go, and a second try is told the status alone.
+/// Drops the oldest body once more than `bodies_kept` are stored. Without this limit a
+/// snapshot would hold all response bodies of the log's retention time. A repeated
+/// request whose body was dropped gets only the status.
 void call_fold::note_body(std::string const& key_hash, call_entry& entry)
 {
     if (entry.body.empty())
--- a/src/ledger/call_fold.hpp
+++ b/src/ledger/call_fold.hpp
@@ -1,5 +1,5 @@
-// Fold of the calls that may not be repeated: which try of a key runs, and what came of
-// it.
+// Fold of the log records about non-idempotent calls: which request holds each
+// idempotency key, and the result of its call.
 //
 // Index: 1 call_phase, 2 call_entry, 3 call_fold
 #ifndef MARIGOLDCRANK_LEDGER_CALL_FOLD_HPP
@@ -24,58 +24,60 @@
 namespace marigoldcrank
 {
 
-/// What is known of the try that holds a key.
+/// State of the call whose request holds a key. Snapshots store the numeric value.
 enum class call_phase
 {
-    intended, // its owner may dispatch it, or has done so
-    answered, // the answer is kept
-    unknown   // dispatched, and its outcome will never be known
+    intended, // the owner may dispatch the call, or has dispatched it
+    answered, // the response is stored
+    unknown   // dispatched; the outcome can't be determined any more
 };
 
-/// The try that holds a key, and its answer.
+/// The request that holds a key, and the response to it.
 struct call_entry
 {
     std::string   request_id;
-    std::string   owner; // entry VM and incarnation; "" if its intent has expired
+    std::string   owner; // entry VM and incarnation; "" if the log lacks the intent
     std::string   body_hash;
     call_phase    phase = call_phase::intended;
     std::uint32_t status = 0;
     std::string   content_type;
     std::string   body;
     bool          body_left_out = false;
-    std::uint64_t last_offset = 0; // of its newest record
+    std::uint64_t last_offset = 0; // offset of the newest record about this request
 
     bool operator==(call_entry const&) const = default;
 };
 
-/// By key hash. The first intent for a key holds it until it is released; every reader of
-/// the log sees the same first one, which is why at most one entry VM dispatches a call.
-/// Value type.
+/// Entries by key hash. The first intent for a key holds the key until it is released.
+/// All readers of the log see the same first intent, so at most one entry VM dispatches
+/// the call. Value type.
 class call_fold
 {
 public:
-    /// Each returns true if it changed anything.
+    /// Each overload folds one record and returns true if the state changed.
     bool apply(std::uint64_t offset, wire::call_intent const& intent);
     bool apply(std::uint64_t offset, wire::call_release const& release);
     bool apply(std::uint64_t offset, wire::call_result const& result);
     bool apply(std::uint64_t offset, wire::call_batch const& batch);
 
-    /// Forgets what the log itself has forgotten.
+    /// Removes entries and releases whose newest record lies before `offset`, the start
+    /// of the retained log.
     void forget_before(std::uint64_t offset);
 
-    /// The try that holds the key.
+    /// The request that holds the key; nothing if the key is free.
     std::optional<call_entry> find(std::string const& key_hash) const;
 
     std::size_t size() const noexcept;
 
-    /// A fold restored from what was saved folds on as this one would.
+    /// Snapshot of the state; a restored fold continues exactly as this one would.
     void             save(wire::call_state_snapshot& state) const;
     static call_fold restored(wire::call_state_snapshot const& state);
 
     bool operator==(call_fold const&) const = default;
 
 private:
-    static constexpr std::size_t bodies_kept = 1024; // of the newest answers
+    static constexpr std::size_t bodies_kept =
+        1024; // newest responses stored with a body
 
     void note_body(std::string const& key_hash, call_entry& entry);
 
--- a/src/ledger/configuration_fold.cpp
+++ b/src/ledger/configuration_fold.cpp
@@ -27,8 +27,8 @@
 
 bool configuration_fold::apply(std::uint64_t offset, wire::config_change const& change)
 {
-    // A repeated id is the operator's tool settling a lost answer, or an append that took
-    // effect late, not a second change.
+    // A repeated id is not a second change: the operator's tool resends a change whose
+    // response was lost, and an append can take effect late.
     if (change.change_id().empty() || verdicts_.count(change.change_id()) != 0)
     {
         return false;
--- a/src/ledger/configuration_fold.hpp
+++ b/src/ledger/configuration_fold.hpp
@@ -1,4 +1,5 @@
-// Fold of configuration changes: one chain of revisions, agreed by all readers.
+// Fold of configuration changes into a single chain of revisions that is the same for all
+// readers of the log.
 //
 // Index: 1 accepted_rules, 2 change_note, 3 configuration_fold
 #ifndef MARIGOLDCRANK_LEDGER_CONFIGURATION_FOLD_HPP
@@ -23,7 +24,7 @@
 /// An accepted rules file.
 struct accepted_rules
 {
-    std::uint64_t revision = 0; // 0   offset of its change; 0 for none
+    std::uint64_t revision = 0; // 0   offset of the change record; 0 for none
     std::string   change_id;
     std::string   rules; // INI text
     std::string   author;
@@ -31,52 +32,54 @@
     bool operator==(accepted_rules const&) const = default;
 };
 
-/// The two forms of a configuration that peers pass on and snapshots hold.
+/// Conversions between accepted rules and the message that peers exchange and snapshots
+/// store.
 accepted_rules read_rules(wire::config_snapshot const& message);
 void           write_rules(accepted_rules const& value, wire::config_snapshot& message);
 
-/// A change without its rules, for the history.
+/// An entry of the history of changes; the rules text is left out.
 struct change_note
 {
     std::string   change_id;
-    std::uint64_t offset = 0;        // the revision, if it was accepted
-    std::uint64_t base_revision = 0; // 0   revision that its author had read
-    bool          accepted = false;  // false: a conflict with an earlier change
+    std::uint64_t offset = 0;        // the revision, if the change was accepted
+    std::uint64_t base_revision = 0; // 0   revision that the author had read
+    bool          accepted = false;  // false: conflict with an earlier change
     std::string   author;
-    std::uint64_t at_unix_ms = 0; // 0   sender's wall clock, only for people
+    std::uint64_t at_unix_ms = 0; // 0   ms; sender's wall clock, for display only
 
     bool operator==(change_note const&) const = default;
 };
 
-/// What became of a change, by its id.
+/// Outcome of a change, looked up by its id.
 enum class change_verdict
 {
-    unknown, // no record with this id was read, or too many came after it
+    unknown, // no record with this id was read, or its entry was dropped from the history
     accepted,
-    conflict // base revision was not the current one
+    conflict // the base revision was not the current one
 };
 
-/// Folds changes in offset order; nothing else moves it, so that every reader of the same
-/// prefix holds the same state. A configuration heard from a peer is kept elsewhere (see
-/// ledger_store).
+/// Folds changes in offset order. Only log records change the state, so that all readers
+/// of the same prefix hold the same state. Configurations received from peers are stored
+/// separately (see ledger_store).
 class configuration_fold
 {
 public:
-    /// Changes remembered. A forgotten id can't be accepted a second time: its base
-    /// revision lies below the current one, which never goes back.
+    /// Length of the history. An id that was dropped from it can't be accepted a second
+    /// time: its base revision is lower than the current revision, which only increases.
     static constexpr std::size_t remembered_changes = 1024;
 
-    /// True if the change was accepted; its offset is the revision from then on. A
-    /// repeated id keeps its first verdict.
+    /// True if the change was accepted; its offset becomes the current revision. A
+    /// repeated id keeps its first outcome and returns false.
     bool apply(std::uint64_t offset, wire::config_change const& change);
 
-    /// Withdrawals only ever add up, so they hold in any order. True if it says anything
-    /// new.
+    /// Adds a withdrawn API key; returns true if the state changed. Withdrawals are never
+    /// undone, so their order doesn't matter.
     bool apply(wire::key_withdrawal const& withdrawal);
 
-    std::uint64_t                      revision() const noexcept;
-    accepted_rules const&              current() const noexcept;
-    std::map<std::string, bool> const& withdrawn_keys() const noexcept; // id, compromised
+    std::uint64_t         revision() const noexcept;
+    accepted_rules const& current() const noexcept;
+    /// Withdrawn keys: id, and whether the key was compromised.
+    std::map<std::string, bool> const& withdrawn_keys() const noexcept;
 
     change_verdict                 verdict(std::string const& change_id) const;
     std::deque<change_note> const& history() const noexcept; // oldest first
@@ -92,7 +95,7 @@
     accepted_rules              current_;
     std::map<std::string, bool> withdrawn_;
     std::deque<change_note>     history_;
-    std::map<std::string, bool> verdicts_; // of history_: id, accepted
+    std::map<std::string, bool> verdicts_; // change id, accepted; for each of history_
 };
 
 } // namespace marigoldcrank
--- a/src/ledger/drain_fold.cpp
+++ b/src/ledger/drain_fold.cpp
@@ -1,4 +1,4 @@
-// Fold of the drains that operators ask for.
+// Fold of operators' drain orders.
 #include "ledger/drain_fold.hpp"
 
 #include "wire.pb.h"
--- a/src/ledger/drain_fold.hpp
+++ b/src/ledger/drain_fold.hpp
@@ -1,4 +1,4 @@
-// Fold of the drains that operators ask for.
+// Fold of operators' drain orders: the servers and data centres that get no new work.
 //
 // Index: 1 drain_list, 2 drain_fold
 #ifndef MARIGOLDCRANK_LEDGER_DRAIN_FOLD_HPP
@@ -19,27 +19,28 @@
 namespace marigoldcrank
 {
 
-/// What gets no new work by an operator's order.
+/// Servers and data centres that get no new work by an operator's order.
 struct drain_list
 {
-    std::uint64_t         revision = 0; // 0  offset of the last record that it contains
+    std::uint64_t         revision = 0; // 0  offset of the newest record included
     std::set<std::string> servers;      //    ids
     std::set<std::string> data_centres; //    names
 
+    /// True if the server or its data centre is drained.
     bool covers(backend_server const& server) const;
 
     bool operator==(drain_list const&) const = default;
 };
 
-/// Pure; every reader of the same records holds the same list. The last record about a
-/// name decides, so that a repeated or doubled record changes nothing.
+/// Pure: all readers of the same records hold the same list. The last record about a name
+/// decides, so repeated records change nothing.
 class drain_fold
 {
 public:
-    /// Folds a record of the log; false if it is malformed or already contained.
+    /// Folds a record of the log; false if it is malformed or already included.
     bool apply(std::uint64_t offset, wire::server_drain const& record);
 
-    /// Takes a peer's list if it is newer; false if not.
+    /// Replaces the list by a peer's if that has a higher revision; else returns false.
     bool apply(wire::drain_state const& state);
 
     drain_list const& value() const noexcept;
@@ -50,7 +51,7 @@
     drain_list list_;
 };
 
-/// The message that passes the list on to peers.
+/// The message that carries the list to peers and in snapshots.
 wire::drain_state to_message(drain_list const& list);
 
 } // namespace marigoldcrank
--- a/src/ledger/duty_log.cpp
+++ b/src/ledger/duty_log.cpp
@@ -1,4 +1,4 @@
-// Fold of the duty topic, and the form of its records.
+// Fold of the duty topic, and the stored form of its records.
 #include "ledger/duty_log.hpp"
 
 #include <nlohmann/json.hpp>
@@ -12,6 +12,7 @@
 namespace
 {
 
+/// Stored names, indexed by duty_kind.
 constexpr std::array<char const*, 4> kind_names{"claim", "renew", "seal", "change"};
 
 } // namespace
@@ -74,7 +75,7 @@
     }
     catch (nlohmann::json::exception const&)
     {
-        return std::nullopt; // of another writer; the caller logs what it skips
+        return std::nullopt; // not written by this program; the caller logs the skip
     }
 }
 
--- a/src/ledger/duty_log.hpp
+++ b/src/ledger/duty_log.hpp
@@ -1,16 +1,18 @@
-// One lease for the duties of which there may be one holder, decided by conditional
-// appends.
+// The lease that elects one VM for the duties, held through conditional appends to the
+// duty topic of the log.
 //
 // Index: 1 duty_record, 2 formats, 3 duty_lease_options, 4 announced_change, 5 duty_log
 //
-// Every record is appended on the condition that the topic ends where its writer has read
-// to. So of two rivals one finds another end, nothing is appended unseen, and an append
-// that takes effect late does so only if nobody has written since. The epoch is the
-// offset of the claim plus one: it only rises, and serves as fencing token.
+// Every append states the end of the topic up to which its writer has read, and fails if
+// the topic ends elsewhere. So only one of two competing appends succeeds, no writer
+// misses a record before its own, and an append that arrives late takes effect only if
+// nobody has written since. The epoch is the offset of the claim plus one: it only
+// increases, and serves as fencing token.
 //
-// Failure guarded against: two holders acting at once. The holder counts its lease from
-// before it sent the append; a successor counts from when it read the newest record and
-// waits the lease and a margin more. Both use a clock that counts suspensions.
+// Two VMs must never act as holder at once. The holder's lease runs from the time before
+// it sent the append. A successor waits for the lease plus a margin from the time at
+// which it read the newest record. Both use a clock that also runs while the VM is
+// suspended.
 #ifndef MARIGOLDCRANK_LEDGER_DUTY_LOG_HPP
 #define MARIGOLDCRANK_LEDGER_DUTY_LOG_HPP
 
@@ -26,98 +28,109 @@
 namespace marigoldcrank
 {
 
-/// Requests that began to run, by workspace.
+/// Number of requests that began to run, by workspace.
 using usage_counts = std::map<std::string, std::int64_t>;
 
+/// Kind of a record; stored by name.
 enum class duty_kind
 {
-    claim, // the writer takes over
-    renew, // the writer goes on
-    seal,  // the figures of a window are fixed
-    change // an engine is about to get an order for another role
+    claim, // the writer becomes the holder
+    renew, // the writer extends its lease
+    seal,  // fixes the usage counts of a window
+    change // announces that an engine will be ordered to change its role
 };
 
-/// One record of the duty topic.
+/// One record of the duty topic. The JSON keys of the stored form are written out in
+/// format_duty_record and parse_duty_record and don't depend on the names here.
 struct duty_record
 {
     duty_kind     kind = duty_kind::claim;
     std::string   holder;     // VM and incarnation
-    std::uint64_t number = 0; // counts the holder's appends; tells its own ones apart
-    std::int64_t  window = 0; // seal: the window. renew: the last window that is reported
-    usage_counts  counts;     // seal
-    std::set<std::int64_t> later;  // renew: windows after `window` that are reported too
-    std::string            server; // change: the engine
-    bool prefill = false;          // change: it is to read prompts; else it is to decode
+    std::uint64_t number = 0; // sequence number of the append within its holder
+    std::int64_t  window = 0; // seal: the window. renew: last window reported without gap
+    usage_counts  counts;     // seal: requests by workspace
+    std::set<std::int64_t> later;  // renew: reported windows after `window`
+    std::string            server; // change: id of the engine
+    bool prefill = false;          // change: the new role; true: prefill, false: decode
 
     bool operator==(duty_record const&) const = default;
 };
 
-std::string                format_duty_record(duty_record const& value);
+/// JSON text of a record as it is stored in the topic.
+std::string format_duty_record(duty_record const& value);
+
+/// Nothing if the text is not a valid record.
 std::optional<duty_record> parse_duty_record(std::string_view text);
 
 struct duty_lease_options
 {
     millis lease{3000}; // 3000  ms; validity of one renewal
-    millis margin{400}; // 400   ms; drift of clocks and packets in flight
+    millis margin{400}; // 400   ms; allowance for clock drift and packets in flight
 
     bool operator==(duty_lease_options const&) const = default;
 };
 
-/// An engine that is about to change its role, or does.
+/// An announced role change of an engine, planned or in progress.
 struct announced_change
 {
-    boot_clock::time_point heard{}; // when this VM read of it
-    bool                   prefill = false;
+    boot_clock::time_point heard{};         // when this VM read the announcement
+    bool                   prefill = false; // new role; false: decode
 
     bool operator==(announced_change const&) const = default;
 };
 
-/// The fold of the duty topic as one VM sees it. Pure: time is passed in.
+/// Fold of the duty topic on one VM, and the state of that VM's own appends. Pure: time
+/// is passed in.
 class duty_log
 {
 public:
     duty_log(std::string self, duty_lease_options options,
              boot_clock::time_point started);
 
-    /// Remembers when an append was sent; its number goes into its records.
+    /// Stores the time at which an append is sent; returns the number for its records.
     std::uint64_t begin_append(boot_clock::time_point now);
 
-    /// Takes in the record at `offset`, read or acknowledged. Older ones are ignored.
+    /// Folds the record at `offset`, which was read or whose append was acknowledged.
+    /// Records before end() are ignored.
     void absorb(duty_record const& record, std::uint64_t offset,
                 boot_clock::time_point now);
 
-    /// Records up to `offset` can't be read any more, or aren't of the form of ours.
+    /// Skips the records up to `offset`, which are truncated or can't be parsed.
     void skip(std::uint64_t offset, boot_clock::time_point now);
 
-    /// Where the next append must find the end, and from where to read on.
+    /// Offset after the last record folded or skipped: the condition of the next append,
+    /// and where to continue reading.
     std::uint64_t end() const noexcept;
 
-    /// Time since the newest record was read, or since the start.
+    /// Time since the newest record was read, or since the start if none was.
     boot_clock::duration silence(boot_clock::time_point now) const;
 
-    /// True once the holder has been silent for the lease and the margin.
+    /// True if no record was read for longer than the lease plus the margin.
     bool may_claim(boot_clock::time_point now) const;
 
-    /// Until when this VM may act; nothing if it isn't the holder or its lease is over.
+    /// Until when this VM may act as holder; nothing if it isn't the holder or its lease
+    /// has expired.
     std::optional<boot_clock::time_point> held_until(boot_clock::time_point now) const;
 
     std::string const& self() const noexcept;
     std::uint64_t      epoch() const noexcept;
     std::string const& holder() const noexcept;
 
-    /// Engines that were announced to change lately.
+    /// Recently announced role changes, by engine id.
     std::map<std::string, announced_change> const& changing() const noexcept;
 
+    /// Counts of the sealed windows. The first seal of a window is final.
     std::map<std::int64_t, usage_counts> const& sealed() const noexcept;
 
-    /// Whether this window is reported, as far as the records tell.
+    /// True if the newest renewal lists this window as reported.
     bool reported(std::int64_t window) const;
 
-    /// All windows up to this one are.
+    /// The last window up to which all windows are reported.
     std::int64_t reported_up_to() const noexcept;
 
 private:
-    static constexpr std::size_t most_windows = 64; // far more than are ever due at once
+    // 64     sealed windows and sent appends stored; far more than are ever due at once
+    static constexpr std::size_t most_windows = 64;
     static constexpr millis change_kept{30000}; // 30000  ms; longer than any change takes
 
     std::string                                     self_;
@@ -131,8 +144,8 @@
     boot_clock::time_point                          valid_until_{};
     std::map<std::int64_t, usage_counts>            sealed_;
     std::map<std::string, announced_change>         changing_;
-    std::int64_t                                    reported_ = 0; // all up to this one
-    std::set<std::int64_t>                          later_;        // reported after it
+    std::int64_t           reported_ = 0; // no gap up to this one
+    std::set<std::int64_t> later_;        // reported after reported_
 };
 
 } // namespace marigoldcrank
--- a/src/ledger/lease_agent.cpp
+++ b/src/ledger/lease_agent.cpp
@@ -1,4 +1,4 @@
-// A process's side of one lease.
+// One process's state machine for one lease.
 #include "ledger/lease_agent.hpp"
 
 #include "wire.pb.h"
@@ -17,8 +17,8 @@
                                                      boot_clock::time_point now)
 {
     auto const& state = view.state;
-    // The pause holds for claims too: without it every process without a duty would
-    // append at each step while the platform refuses or loses records.
+    // The pause applies to claims too. Without it every process that doesn't hold the
+    // duty would append at each step while the platform refuses or loses records.
     if (last_sent_ && now - *last_sent_ < terms_.renew)
     {
         return std::nullopt;
@@ -54,8 +54,8 @@
     {
         return;
     }
-    // The epoch is that of this very record. The current epoch of the fold may already be
-    // a successor's, whose fencing number must never appear on an order from here.
+    // The epoch is taken from the record itself. The fold's current epoch may already be
+    // a successor's, and no order of this process may carry that fencing token.
     auto const epoch = sent->epoch == 0 ? offset : sent->epoch;
     if (epoch <= given_up_)
     {
@@ -68,16 +68,15 @@
 std::optional<wire::log_record> lease_agent::prepare_release(lease_state const& state)
 {
     held_.reset();
-    // A renewal that is still on its way must not bring the lease back: its release may
-    // be folded before the renewal's outcome is looked at, and a successor claims at
-    // once.
+    // A renewal still in flight must not restore the lease: the release may be folded
+    // before the renewal's outcome is handled, and a successor claims at once.
     pending_.reset();
     if (state.released || state.holder != holder_)
     {
         return std::nullopt;
     }
-    // A renewal that is still on its way must not bring the lease back, nor may a later
-    // one: the release can take effect any time, and then a successor claims at once.
+    // No renewal of this epoch, in flight or later, may restore the lease: the release
+    // can take effect at any time, and a successor then claims at once.
     given_up_ = state.epoch;
     wire::log_record record;
     record.mutable_release()->set_duty(duty_);
@@ -104,15 +103,16 @@
     return holder_;
 }
 
-/// An epoch that was given up is a stranger's: to take the duty again, this process waits
-/// it out and claims like any other.
+/// True if the log names this process as holder under an epoch that it hasn't released. A
+/// released epoch counts as another process's: to hold the duty again, this process waits
+/// until it expires and claims it like any other.
 bool lease_agent::own(lease_state const& state) const
 {
     return !state.released && state.holder == holder_ && state.epoch > given_up_;
 }
 
-/// A process that has just started reads every record as new, and so waits a whole lease
-/// first.
+/// True if the lease was released or has expired for all clocks within the drift bound. A
+/// process that has just started counts from its start, so it first waits a whole lease.
 bool lease_agent::may_claim(lease_view const& view, boot_clock::time_point now) const
 {
     return view.state.released || now - view.read_at > terms_.lease + terms_.drift;
--- a/src/ledger/lease_agent.hpp
+++ b/src/ledger/lease_agent.hpp
@@ -1,12 +1,13 @@
-// A process's side of one lease, without I/O or a clock of its own: when to claim or
-// renew, and whether it holds the duty.
+// One process's state machine for one lease: when to claim or renew the duty, and whether
+// the process holds it. It does no I/O and reads no clock.
 //
 // Index: 1 lease_terms, 2 held_lease, 3 lease_view, 4 lease_agent
 //
-// Two rules keep two processes from holding a duty at once. A holder counts its lease
-// from before it sent the record that it has since read back as effective; everybody
-// else counts from when they read that record, plus the drift bound. And an epoch whose
-// release was sent once is never renewed again, since a release can take effect late.
+// Two rules keep two processes from holding a duty at once. The holder's lease runs from
+// the time before it sent the claim or renewal, and only once it has read that record
+// back as effective; all others wait for the lease plus the drift bound from the time at
+// which they read the record. And once a release of an epoch was sent, that epoch is
+// never renewed again, since the release can take effect late.
 #ifndef MARIGOLDCRANK_LEDGER_LEASE_AGENT_HPP
 #define MARIGOLDCRANK_LEDGER_LEASE_AGENT_HPP
 
@@ -25,31 +26,31 @@
 namespace marigoldcrank
 {
 
-/// Durations that all entry VMs must share.
+/// Durations that must be the same on all entry VMs.
 struct lease_terms
 {
-    millis lease{6000}; // 6000  validity of one renewal
-    millis renew{2000}; // 2000  between renewals
-    millis drift{500};  // 500   bound on the drift of two clocks within a lease
+    millis lease{6000}; // 6000  ms; validity of one renewal
+    millis renew{2000}; // 2000  ms; least time between two claims or renewals
+    millis drift{500};  // 500   ms; bound on the drift between two clocks within a lease
 
     bool operator==(lease_terms const&) const = default;
 };
 
-/// Authority for a duty until `valid_until` on the holder's own clock.
+/// Authority for a duty until `valid_until`.
 struct held_lease
 {
-    std::uint64_t          epoch = 0;     // fencing number
-    boot_clock::time_point valid_until{}; // own clock
-    boot_clock::time_point since{};       // own clock; when the claim was read back
+    std::uint64_t          epoch = 0;     // fencing token
+    boot_clock::time_point valid_until{}; // holder's clock
+    boot_clock::time_point since{};       // holder's clock; when the claim was read back
 
     bool operator==(held_lease const&) const = default;
 };
 
-/// What this process has read about the duty.
+/// The state of the duty as this process has read it.
 struct lease_view
 {
     lease_state            state;
-    boot_clock::time_point read_at{}; // of the last effective record; else process start
+    boot_clock::time_point read_at{}; // last effective record read; else process start
 
     bool operator==(lease_view const&) const = default;
 };
@@ -60,19 +61,21 @@
 public:
     lease_agent(std::string duty, std::string holder, lease_terms terms);
 
-    /// The claim or renewal that is due, if any. The lease will run from `now`, so `now`
-    /// is read before the record is sent.
+    /// The claim or renewal that is due, if any. The lease runs from `now`, so the caller
+    /// reads the clock before it sends the record.
     std::optional<wire::log_record> prepare(lease_view const&      view,
                                             boot_clock::time_point now);
 
-    /// The record of the last `prepare` was read back at `offset`. Outcomes of records
-    /// before it are not reported: they count as given up.
+    /// Takes the outcome of the record of the last `prepare`, which was read back at
+    /// `offset`. Earlier records count as abandoned; their outcomes are not passed in.
     void settle(std::uint64_t offset, bool effective, boot_clock::time_point now);
 
-    /// The release of what this process holds or may come to hold, if anything.
+    /// Ends the lease locally; returns the release record if the log names this process
+    /// as holder.
     std::optional<wire::log_record> prepare_release(lease_state const& state);
 
-    /// The lease, if this process has it at `now` and has read of no successor.
+    /// The lease, if it is valid at `now` and this process has read no record of a
+    /// successor.
     std::optional<held_lease> held(lease_state const&     state,
                                    boot_clock::time_point now) const;
 
@@ -83,7 +86,7 @@
     /// A record that was sent and not yet read back.
     struct pending_record
     {
-        std::uint64_t          epoch = 0; // 0 for a claim: its own offset will be it
+        std::uint64_t          epoch = 0; // 0 for a claim: the epoch will be its offset
         boot_clock::time_point sent_at{};
 
         bool operator==(pending_record const&) const = default;
@@ -98,7 +101,7 @@
     std::optional<pending_record>         pending_;
     std::optional<held_lease>             held_;
     std::optional<boot_clock::time_point> last_sent_;
-    std::uint64_t                         given_up_ = 0; // last epoch a release names
+    std::uint64_t                         given_up_ = 0; // newest epoch released
 };
 
 } // namespace marigoldcrank
--- a/src/ledger/lease_fold.hpp
+++ b/src/ledger/lease_fold.hpp
@@ -1,11 +1,11 @@
-// Fold of lease records: who holds which duty, agreed by all readers of the log.
+// Fold of lease records: the holder of each duty, the same for all readers of the log.
 //
 // Index: 1 lease_state, 2 lease_fold
 //
 // A claim is effective only if it names the current epoch and the offset of the last
-// effective renewal: a claim that raced with a renewal loses, and of two rival claims the
-// one with the lower offset wins. The offset of the effective claim is the epoch, which
-// is the fencing number of every order under that lease.
+// effective record. So a claim that raced with a renewal has no effect, and of two
+// competing claims the one with the lower offset wins. The offset of the effective claim
+// is the epoch, which every order under that lease carries as fencing token.
 #ifndef MARIGOLDCRANK_LEDGER_LEASE_FOLD_HPP
 #define MARIGOLDCRANK_LEDGER_LEASE_FOLD_HPP
 
@@ -24,13 +24,13 @@
 namespace marigoldcrank
 {
 
-/// A duty as the log has it.
+/// State of one duty.
 struct lease_state
 {
-    std::string   holder;          // ""  node and incarnation; kept after a release
-    std::uint64_t epoch = 0;       // 0   offset of the effective claim; 0 for never held
-    std::uint64_t last_offset = 0; // 0   last effective claim, renewal or release
-    bool          released = true; // the holder gave it up; no waiting needed
+    std::string   holder;          // ""  VM and incarnation; unchanged by a release
+    std::uint64_t epoch = 0;       // 0   offset of the effective claim; 0 if never held
+    std::uint64_t last_offset = 0; // 0   offset of the last effective record
+    bool          released = true; // true: may be claimed without waiting
 
     bool operator==(lease_state const&) const = default;
 };
@@ -39,7 +39,7 @@
 class lease_fold
 {
 public:
-    /// Each returns whether the record was effective.
+    /// Each overload folds one record and returns true if it was effective.
     bool apply(std::uint64_t offset, wire::lease_claim const& claim);
     bool apply(std::uint64_t offset, wire::lease_renewal const& renewal);
     bool apply(std::uint64_t offset, wire::lease_release const& release);
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -1,4 +1,4 @@
-// The fold of the whole log.
+// Dispatches each record to its fold.
 #include "ledger/ledger.hpp"
 
 #include "wire.pb.h"
@@ -62,8 +62,8 @@
 
 bool ledger::fold_usage(std::uint64_t offset, wire::log_record const& record)
 {
-    // A reporter that lost its lease must neither close a window nor mark one: its epoch
-    // is no longer the current one in the fold, whatever it believes itself.
+    // A reporter that has lost its lease, perhaps without noticing, must neither seal a
+    // window nor mark one as reported. Its epoch is then not the current one of the fold.
     auto const reports = [&](auto const& body)
     {
         return leases_.holds("reporter", body.holder(), body.epoch());
@@ -81,8 +81,8 @@
 
 bool ledger::fold_order(std::uint64_t offset, wire::log_record const& record)
 {
-    // An intent of an epoch that is over must not open an order: its sender may be a
-    // paused holder that has not yet seen its successor.
+    // An intent of an expired epoch must not open an order: its sender may be a holder
+    // that was paused and has not yet read its successor's claim.
     auto const holds = [&](auto const& body)
     {
         return leases_.holds(body.duty(), body.holder(), body.epoch());
@@ -94,8 +94,8 @@
     return holds(record.outcome()) && orders_.apply(record.outcome());
 }
 
-/// A snapshot says nothing new to a reader who has folded what it covers, but for what
-/// may be forgotten.
+/// The only new information in a snapshot, for a reader that has folded the records
+/// before it, is how far the log was truncated.
 bool ledger::note_snapshot(std::uint64_t offset, wire::ledger_snapshot const& snapshot)
 {
     if (snapshot.through_offset() >= offset ||
@@ -104,8 +104,9 @@
         return false;
     }
     snapshot_through_ = snapshot.through_offset();
-    // What the log has let go is forgotten at a record, so by all readers alike: each
-    // reader's own view of the retention would make ledgers differ.
+    // Truncated calls are removed when this record is folded, so that all readers remove
+    // the same ones. If each reader went by its own view of the retention, ledgers of the
+    // same prefix would differ.
     calls_.forget_before(snapshot.first_retained());
     return true;
 }
@@ -197,8 +198,8 @@
 
 leaf::result<wire::log_record> parse_record(std::string const& text)
 {
-    // A field of a later version changes nothing for a record that is known here: an
-    // older reader that skipped the record would fold another chain than the newer ones.
+    // Unknown fields come from later versions and are ignored. If this reader skipped the
+    // whole record instead, its state would differ from that of newer readers.
     google::protobuf::util::JsonParseOptions options;
     options.ignore_unknown_fields = true;
     wire::log_record record;
--- a/src/ledger/ledger.hpp
+++ b/src/ledger/ledger.hpp
@@ -1,4 +1,5 @@
-// The fold of the whole log: a pure function of the records in offset order.
+// State of the whole log: all folds together, a pure function of the records in offset
+// order.
 //
 // Index: 1 record_effect, 2 ledger, 3 record text
 #ifndef MARIGOLDCRANK_LEDGER_LEDGER_HPP
@@ -24,23 +25,23 @@
 namespace marigoldcrank
 {
 
-/// What a record meant to the fold.
+/// Effect of a record on the state.
 enum class record_effect
 {
     effective,
-    without_effect, // lost a race, repeated or out of date
-    malformed       // not a record; every reader skips it alike
+    without_effect, // lost a race, was repeated or is outdated
+    malformed       // can't be parsed; all readers skip it
 };
 
-/// All folds together. Value type: two readers of the same prefix hold equal ledgers.
+/// Value type: two readers of the same prefix of the log hold equal ledgers.
 class ledger
 {
 public:
-    /// Folds the record at `offset`; offsets must rise by one from call to call, except
-    /// after a gap, where the caller starts again from a snapshot.
+    /// Folds the record at `offset`. Offsets increase by one from call to call; after a
+    /// gap the caller starts again from a snapshot.
     record_effect apply(std::uint64_t offset, wire::log_record const& record);
 
-    /// Counts a record whose bytes could not be read.
+    /// Skips and counts a record that can't be parsed.
     record_effect skip_malformed(std::uint64_t offset);
 
     lease_fold const&         leases() const noexcept;
@@ -50,12 +51,13 @@
     order_fold const&         orders() const noexcept;
     call_fold const&          calls() const noexcept;
     std::uint64_t             next_offset() const noexcept;
-    std::uint64_t             malformed() const noexcept; // records skipped
+    std::uint64_t             malformed() const noexcept; // number of records skipped
 
-    /// Last offset that the newest snapshot in the log covers; 0 for none.
+    /// Last offset that the newest snapshot in the log includes; 0 if there is none.
     std::uint64_t snapshot_through() const noexcept;
 
-    /// The whole state: a ledger restored from it folds on as this one would.
+    /// Snapshot of the whole state; a restored ledger continues exactly as this one
+    /// would.
     wire::ledger_snapshot snapshot() const;
     static ledger         restored(wire::ledger_snapshot const& snapshot);
 
@@ -78,10 +80,11 @@
     std::uint64_t      snapshot_through_ = 0;
 };
 
-/// The text of a record as it stands in the log (protobuf's JSON form).
+/// The text of a record as it is stored in the log: protobuf's JSON form with the field
+/// names of the .proto file.
 std::string format_record(wire::log_record const& record);
 
-/// Reads the text of a record. Fails with message_failure.
+/// Parses the text of a record. Fails with message_failure.
 leaf::result<wire::log_record> parse_record(std::string const& text);
 
 } // namespace marigoldcrank
--- a/src/ledger/order_fold.cpp
+++ b/src/ledger/order_fold.cpp
@@ -13,8 +13,8 @@
 
 bool order_fold::apply(std::uint64_t offset, wire::order_intent const& intent)
 {
-    // Without this a duty could order what another duty answers for, under a fencing
-    // number that the other's engines can't compare with their own.
+    // Without this check a duty could order a change of another duty's target, under a
+    // fencing token that can't be compared with those of the other duty.
     bool const own_target = intent.target().rfind(intent.duty() + "/", 0) == 0;
     if (!own_target || intent.order_id().empty() || open_.count(intent.target()) != 0 ||
         known_ids_.count(intent.order_id()) != 0)
--- a/src/ledger/order_fold.hpp
+++ b/src/ledger/order_fold.hpp
@@ -1,10 +1,12 @@
-// Fold of orders: which are open, agreed by all readers of the log.
+// Fold of orders to servers and platforms: the open ones, the same for all readers of the
+// log.
 //
-// Index: 1 order_outcome_kind, 2 open_order, 3 order_fold
+// Index: 1 order_end, 2 open_order, 3 order_fold
 //
-// An order is opened by its intent before it is sent and closed by its outcome. A target
-// has at most one open order, so that two orders for it can't cross. Whoever holds the
-// duty closes an order, whoever opened it: a successor settles what it finds open.
+// An order is opened by its intent record, before it is sent, and closed by its outcome
+// record. A target has at most one open order, so that two orders for it can't overtake
+// each other. Any holder of the duty may close an order: a successor closes those that it
+// finds open.
 #ifndef MARIGOLDCRANK_LEDGER_ORDER_FOLD_HPP
 #define MARIGOLDCRANK_LEDGER_ORDER_FOLD_HPP
 
@@ -25,48 +27,49 @@
 namespace marigoldcrank
 {
 
-/// How an order ended.
+/// Result of a closed order.
 enum class order_end
 {
-    done,     // the truth shows the state wanted
-    abandoned // it had no effect, or nobody waits for it any longer
+    done,     // the wanted state was observed
+    abandoned // without effect, or no longer waited for
 };
 
+/// The name that is stored in the log.
 char const* name_of(order_end end) noexcept;
 
-/// An order that was intended and not yet settled.
+/// An order whose outcome isn't recorded yet.
 struct open_order
 {
     std::string   order_id;
     std::string   duty;
-    std::string   target; // "DUTY/..."; an engine, or a place in a data centre
-    std::string   wanted; // JSON of the state wanted
-    std::string   holder; // who intended it
+    std::string   target; // "DUTY/..."; an engine, or a VM's place in a data centre
+    std::string   wanted; // JSON of the wanted state
+    std::string   holder; // holder of the duty that recorded the intent
     std::uint64_t epoch = 0;
-    std::uint64_t offset = 0; // of the intent
+    std::uint64_t offset = 0; // offset of the intent
 
     bool operator==(open_order const&) const = default;
 };
 
-/// Folds intents and outcomes in offset order. The caller has checked that holder and
-/// epoch are the current ones of the duty.
+/// Folds intents and outcomes in offset order. The caller passes only records that name
+/// the current holder and epoch of the duty.
 class order_fold
 {
 public:
-    /// True if the order is open now: its id is new, its target belongs to the duty and
-    /// has no open order.
+    /// Opens the order if its id is new and its target belongs to the duty and has no
+    /// open order; else returns false.
     bool apply(std::uint64_t offset, wire::order_intent const& intent);
 
-    /// True if it closed the order.
+    /// Closes the order; false if it isn't open.
     bool apply(wire::order_outcome const& outcome);
 
     /// Open orders by target.
     std::map<std::string, open_order> const& open() const noexcept;
 
-    /// Open orders of one duty, in the order of their targets.
+    /// Open orders of one duty, sorted by target.
     std::vector<open_order> open_of(std::string const& duty) const;
 
-    /// A fold restored from what was saved folds on as this one would.
+    /// Snapshot of the state; a restored fold continues exactly as this one would.
     void              save(wire::order_state_snapshot& snapshot) const;
     static order_fold restored(wire::order_state_snapshot const& snapshot);
 
@@ -75,8 +78,8 @@
 private:
     void remember(std::string const& order_id);
 
-    /// Ids are remembered so that a repeated append does not open an order again. One
-    /// that comes after more orders than this opens an order that nobody sends, see
+    /// Number of ids stored, so that a repeated append does not open an order again. An
+    /// append repeated after more orders than this opens an order that nobody sends, see
     /// order_journal.
     static constexpr std::size_t remembered_ids = 512;
 
--- a/src/ledger/server_list.cpp
+++ b/src/ledger/server_list.cpp
@@ -1,4 +1,4 @@
-// State of the server list.
+// The backend servers listed in the store.
 #include "ledger/server_list.hpp"
 
 #include <algorithm>
--- a/src/ledger/usage_fold.cpp
+++ b/src/ledger/usage_fold.cpp
@@ -54,8 +54,9 @@
     for (auto const& delta : batch.deltas())
     {
         auto const own = sequence++;
-        // Its node tries again after a lost answer, a peer appends for a node that is
-        // gone, an old append takes effect late: all under the same number.
+        // A delta can arrive repeatedly under the same number: its VM appends it again
+        // after a lost response, a peer appends it for a VM that has failed, or an old
+        // append takes effect late.
         if (sequences.contains(own))
         {
             continue;
--- a/src/ledger/usage_fold.hpp
+++ b/src/ledger/usage_fold.hpp
@@ -1,4 +1,5 @@
-// Fold of usage: batches add up once, and a seal fixes a window's figures for ever.
+// Fold of usage records: counts every usage delta once and assigns it to a window; a seal
+// makes a window's figures final.
 //
 // Index: 1 usage_figure, 2 sealed_window, 3 usage_fold
 #ifndef MARIGOLDCRANK_LEDGER_USAGE_FOLD_HPP
@@ -22,7 +23,7 @@
 namespace marigoldcrank
 {
 
-/// Usage of one workspace and model, in tokens and calls.
+/// Usage totals of one workspace and model, in tokens and calls.
 struct usage_figure
 {
     std::uint64_t prompt_tokens = 0;
@@ -32,47 +33,54 @@
     auto operator<=>(usage_figure const&) const = default;
 };
 
-/// By workspace and model.
+/// Totals by workspace and model.
 using usage_table = std::map<std::pair<std::string, std::string>, usage_figure>;
 
-/// A window whose figures can't change any more.
+/// A window whose figures are final.
 struct sealed_window
 {
     std::uint64_t window = 0;
     std::uint64_t sealed_at = 0;        // offset of the seal
-    std::uint64_t ended_at_unix_ms = 0; // as the sealing reporter saw it
+    std::uint64_t ended_at_unix_ms = 0; // ms; by the clock of the reporter that sealed it
     usage_table   figures;
 
     bool operator==(sealed_window const&) const = default;
 };
 
-/// Folds usage batches, seals and reporters' marks in offset order.
+/// Folds usage batches, seals and the reporter's marks of reported windows in offset
+/// order.
 class usage_fold
 {
 public:
-    /// Reported windows whose figures are kept for operators.
+    /// Number of last windows whose figures stay available to operators after their
+    /// report.
     static constexpr std::uint64_t kept_windows = 128;
 
-    /// Incarnations whose counted sequences are kept; the first to appear goes first. An
-    /// append that takes effect after so many newer incarnations would count twice.
+    /// Number of incarnations whose counted sequences are stored; the one that appeared
+    /// first is dropped first. A repeated append of a dropped incarnation would be
+    /// counted twice.
     static constexpr std::size_t kept_incarnations = 4096;
 
-    /// True if anything in the batch was counted; a delta that came before is not.
+    /// Adds the batch to the open window. True if any delta was counted; deltas that were
+    /// counted before are skipped.
     bool apply(wire::usage_batch const& batch);
 
-    /// True if the seal was effective: it names the last sealed window plus one.
-    /// The caller has checked the reporter's lease.
+    /// Closes the open window if the seal names the last sealed window plus one; else
+    /// returns false. The caller passes only seals of the reporter that holds the lease.
     bool apply(std::uint64_t offset, wire::window_seal const& seal);
 
-    /// True if the mark moved on. The caller has checked the reporter's lease.
+    /// Marks all windows up to this one as reported; false if they were, or if it isn't
+    /// sealed. The caller passes only marks of the reporter that holds the lease.
     bool apply(wire::usage_reported const& mark);
 
     std::uint64_t last_sealed() const noexcept;
     std::uint64_t last_reported() const noexcept;
 
-    /// All windows not yet reported and the last reported ones.
+    /// All sealed windows that aren't reported yet, and the last reported ones.
     std::map<std::uint64_t, sealed_window> const& sealed() const noexcept;
-    usage_table const&                            open() const noexcept;
+
+    /// Totals of the open window.
+    usage_table const& open() const noexcept;
 
     /// True if the delta of this node, incarnation and sequence was counted.
     bool counted(std::string const& node, std::string const& incarnation,
@@ -88,7 +96,8 @@
 private:
     using incarnation_name = std::pair<std::string, std::string>; // node, incarnation
 
-    /// Sequences counted of one incarnation: all up to `through`, and those in `above`.
+    /// Counted sequence numbers of one incarnation: all up to `through`, and those in
+    /// `above`.
     struct counted_sequences
     {
         std::uint64_t           through = 0;
@@ -103,11 +112,11 @@
     void               forget_reported();
 
     std::map<incarnation_name, counted_sequences> counted_;
-    std::deque<incarnation_name>                  appeared_; // order of counted_
-    usage_table                                   open_;
-    std::map<std::uint64_t, sealed_window>        sealed_;
-    std::uint64_t                                 last_sealed_ = 0;
-    std::uint64_t                                 last_reported_ = 0;
+    std::deque<incarnation_name>           appeared_; // keys of counted_, oldest first
+    usage_table                            open_;
+    std::map<std::uint64_t, sealed_window> sealed_;
+    std::uint64_t                          last_sealed_ = 0;
+    std::uint64_t                          last_reported_ = 0;
 };
 
 } // namespace marigoldcrank
--- a/src/ledger/usage_windows.cpp
+++ b/src/ledger/usage_windows.cpp
@@ -1,4 +1,4 @@
-// Counting and adding up.
+// Counts of one VM, their stored form, and the sum over all VMs.
 #include "ledger/usage_windows.hpp"
 
 #include <nlohmann/json.hpp>
@@ -40,7 +40,7 @@
     }
     catch (nlohmann::json::exception const&)
     {
-        return std::nullopt; // of another writer; the caller logs what it skips
+        return std::nullopt; // not written by this program; the caller logs the skip
     }
 }
 
@@ -71,7 +71,7 @@
     if (taken_before_ < window)
     {
         taken_before_ = window;
-        grown_.insert(window - 1); // an idle VM says so, else it would be waited for
+        grown_.insert(window - 1); // an idle VM records zero, else others wait for it
     }
     while (!grown_.empty() && *grown_.begin() < window)
     {
@@ -100,7 +100,7 @@
 namespace
 {
 
-/// Of each workspace the larger figure: counts only grow.
+/// Takes the larger count of each workspace, since counts only grow.
 void merge(usage_counts& counts, usage_counts const& other)
 {
     for (auto const& [workspace, count] : other)
@@ -110,6 +110,7 @@
     }
 }
 
+/// True if `counts` holds each count of `part` or a larger one.
 bool within(usage_counts const& part, usage_counts const& counts)
 {
     return std::all_of(part.begin(), part.end(),
@@ -237,7 +238,7 @@
     {
         return true;
     }
-    // What it told of a later window was told after the end of this one.
+    // A VM sends counts of a later window only after the end of this one.
     return std::any_of(windows_.upper_bound(window), windows_.end(),
                        [&](auto const& later)
                        { return later.second.heard.count(writer) > 0; });
@@ -248,7 +249,7 @@
     auto const vm = writer.substr(0, writer.find('/') + 1);
     auto const newer = [&](figures const& known)
     {
-        auto const last = known.lower_bound(vm + '~'); // behind all its incarnations
+        auto const last = known.lower_bound(vm + '~'); // after all its incarnations
         return last != known.begin() && std::prev(last)->first.starts_with(vm) &&
                std::prev(last)->first > writer;
     };
--- a/tests/property/duty_log_property_test.cpp
+++ b/tests/property/duty_log_property_test.cpp
@@ -1,6 +1,7 @@
-// The duty lease under lost, late and repeated appends, pauses and restarts.
+// Property tests of the duty lease under lost, late and repeated appends, pauses and
+// restarts; of usage sums and of the server list.
 //
-// Index: 1 a store and its VMs, 2 properties
+// Index: 1 simulated log and VMs, 2 properties
 #include "ledger/duty_log.hpp"
 #include "ledger/server_list.hpp"
 #include "ledger/usage_windows.hpp"
@@ -13,20 +14,20 @@
 namespace
 {
 
-// 1. A store and its VMs
+// 1. Simulated log and VMs
 
 constexpr millis lease{3000};
 constexpr millis margin{400};
 constexpr millis step{100};
 
-/// An append on its way: it takes effect at `due`, if the end is still where it was.
+/// An append in flight: it takes effect at `due` if the log still ends at `at`.
 struct flying_append
 {
     std::uint64_t          at = 0;
     duty_record            record;
     boot_clock::time_point due{};
     std::size_t            vm = 0;
-    bool                   answered = false; // its VM hears of the outcome
+    bool                   answered = false; // the VM receives the outcome
 };
 
 struct vm_state
@@ -34,10 +35,10 @@
     duty_log               log;
     boot_clock::time_point paused_until{};
     boot_clock::time_point next_look{};
-    bool                   waiting = false; // for the answer of an append
+    bool                   waiting = false; // for the outcome of an append
 };
 
-/// Moves a few VMs and a log in steps of 100 ms; each step's troubles are drawn.
+/// Simulates a few VMs and a log in steps of 100 ms; the faults of each step are random.
 class duty_world
 {
 public:
@@ -160,7 +161,8 @@
         }
     }
 
-    /// What a VM would do if it looked at its lease now.
+    /// Checks that at most one running VM considers itself the holder now, and that
+    /// epochs don't decrease.
     void check()
     {
         std::size_t holders = 0;
@@ -231,7 +233,7 @@
     static_cast<void>(parse_usage_record(text));
 }
 
-// Two VMs that seal the same window race: the first record decides for all readers.
+// Two VMs seal the same window: the first record must decide for all readers.
 TEST(duty_log, first_seal_of_a_window_stands)
 {
     duty_log               log("a", {lease, margin}, {});
@@ -243,14 +245,14 @@
     EXPECT_EQ(log.sealed().at(4).at("w"), 1);
 }
 
-// A window was reported while an earlier one still waited for counts. Then the holder
-// dies and its seal is lost from the history: a successor that seals the window anew
-// would report it with another figure. The newest renewal tells that it is done.
+// A window is reported while an earlier one still waits for counts. Then the holder fails
+// and the seal is truncated from the log. A successor that sealed the window again would
+// report different counts; the newest renewal shows it that the window is reported.
 TEST(duty_log, later_windows_that_are_reported_are_known_without_their_seals)
 {
     duty_log               log("b", {lease, margin}, {});
     boot_clock::time_point now{std::chrono::seconds{9}};
-    log.skip(6, now); // the seal of window 7 among them
+    log.skip(6, now); // includes the seal of window 7
     log.absorb({.kind = duty_kind::renew, .holder = "a", .window = 5, .later = {7}}, 7,
                now);
     EXPECT_TRUE(log.reported(5));
@@ -301,8 +303,9 @@
     RC_ASSERT(billed == calls);
 }
 
-// Records, digests and what others append for a VM tell the same counts in any order,
-// some of them older than others. Added up, callers would be billed twice.
+// A VM's counts arrive in its records, in digests and in records that others append for
+// it, in any order and partly outdated. If they were added up, callers would be billed
+// twice.
 RC_GTEST_PROP(usage_sum, figures_of_a_vm_count_once_however_they_come, ())
 {
     usage_counter             counter("vm", {}, millis{1000});
@@ -340,8 +343,8 @@
     RC_ASSERT(sum.holds(told.back()));
 }
 
-// A VM is killed with an open window and starts again. It is never heard of as the old
-// incarnation, and its window must not wait for that.
+// A VM is killed in an open window and restarts. Its old incarnation sends nothing more,
+// so the window must not wait for it.
 TEST(usage_sum, window_is_complete_once_a_vm_has_started_again)
 {
     usage_sum sum;
@@ -357,7 +360,8 @@
     EXPECT_EQ(sum.of(2).at("w"), 7);
 }
 
-// A VM that can't reach the store has told of a later window: the ones before are closed.
+// A VM that can't reach the store sends counts of a later window in a digest, which
+// closes the windows before.
 TEST(usage_sum, window_is_complete_once_a_later_one_is_heard_of)
 {
     usage_sum sum;
@@ -397,9 +401,10 @@
     }
 }
 
-// A VM gets its way to the store back, and a moment later a server that never says that
-// it leaves removes its entry. Held as a lapsed entry until the next read of the list, it
-// got new work 2.2 s after its removal, when it may be gone.
+// A VM reaches the store again, and soon afterwards a server removes its entry without
+// announcing that it leaves. When such an entry was held like an expired one until the
+// next read of the list, the server got new work 2.2 s after its removal, when it may
+// have stopped.
 TEST(server_list, removal_after_an_outage_is_not_held_like_a_lapse)
 {
     auto const in_use = [](server_list const& list, boot_clock::time_point at)
--- a/tests/property/folds_property_test.cpp
+++ b/tests/property/folds_property_test.cpp
@@ -1,8 +1,8 @@
-// Folds of configuration, keys and usage: whatever the order, repetition and lateness of
-// records, there is one chain of revisions, one figure a window, each delta counts once,
-// and a snapshot stands for all that came before it.
+// Property tests of the folds of configuration, keys and usage. Whatever the order,
+// repetition and delay of records: there is one chain of revisions and one set of totals
+// per window, each delta counts once, and a snapshot replaces all records before it.
 //
-// Index: 1 log from raw numbers, 2 ledger, 3 store beside peers, 4 bounds
+// Index: 1 random logs, 2 ledger, 3 store with peers, 4 bounds
 #include "adapters/logging.hpp"
 #include "app/ledger_store.hpp"
 #include "app/usage_custody.hpp"
@@ -19,9 +19,10 @@
 namespace
 {
 
-// 1. Log from raw numbers
+// 1. Random logs
 
-/// Reads choices out of one raw number, so that a failing log shrinks to a short one.
+/// Derives random choices from one raw number, so that a failing log shrinks to a short
+/// one.
 class choices
 {
 public:
@@ -38,12 +39,13 @@
     std::uint64_t raw_;
 };
 
-using log_text = std::vector<wire::log_record>; // record i stands at offset i + 1
+using log_text = std::vector<wire::log_record>; // record i has offset i + 1
 
 wire::config_change change_of(choices& from, ledger const& now, std::size_t step)
 {
     wire::config_change change;
-    // One time in four an id of before: a repeat, or an append that took effect late.
+    // One change in four reuses an earlier id: a repeat, or an append that took effect
+    // late.
     auto const id = from.below(4) == 0 ? from.below(step + 1) : step;
     change.set_change_id("change-" + std::to_string(id));
     change.set_base_revision(from.below(3) != 0 ? now.config().revision()
@@ -63,7 +65,8 @@
     auto const deltas = 1 + from.below(3);
     for (std::uint64_t index = 0; index < deltas; ++index)
     {
-        // A delta is the same whoever appends it: its figures follow from its number.
+        // A delta is the same whichever VM appends it, so its counts depend only on its
+        // number.
         auto const sequence = batch.sequence() + index;
         auto*      delta = batch.add_deltas();
         delta->set_workspace(sequence % 2 == 0 ? "north" : "south");
@@ -93,7 +96,7 @@
     record.mutable_claim()->set_after_offset(current ? state.last_offset : 0);
 }
 
-/// Calls are judged elsewhere; here they must survive a snapshot like all else.
+/// The fold of calls has tests of its own; here calls only have to survive a snapshot.
 void fill_call(wire::log_record& record, choices& from)
 {
     auto const key = "call-" + std::to_string(from.below(3));
@@ -134,7 +137,7 @@
     auto const       kind = from.below(18);
     if (kind == 0 && !before.empty())
     {
-        return before[from.below(before.size())]; // a second effect of the same append
+        return before[from.below(before.size())]; // an append that takes effect twice
     }
     if (kind < 4)
     {
@@ -208,7 +211,7 @@
     auto const log = *any_log();
     auto const cut = *rc::gen::inRange<std::size_t>(0, log.size() + 1);
     auto const prefix = folded(log, 0, cut);
-    // Through the text of the log, as a reader finds it.
+    // The snapshot passes through its stored text, as a reader of the log gets it.
     wire::log_record record;
     *record.mutable_ledger() = prefix.snapshot();
     auto const read =
@@ -256,7 +259,7 @@
         record.mutable_change()->set_change_id(id);
         record.mutable_change()->set_base_revision(before.config().revision());
         value.apply(value.next_offset(), record);
-        value.apply(value.next_offset(), record); // the append took effect twice
+        value.apply(value.next_offset(), record); // the append takes effect twice
     }
     for (auto const* id : {"left", "right"})
     {
@@ -265,7 +268,7 @@
     RC_ASSERT(accepted == 1U);
 }
 
-/// The figures of all windows, each as it stood when it was sealed, and the open one.
+/// Sum of the output tokens of a table.
 std::uint64_t output_of(usage_table const& table)
 {
     std::uint64_t sum = 0;
@@ -325,7 +328,7 @@
     }
 }
 
-// 3. Store beside peers
+// 3. Store with peers
 
 wire::config_snapshot snapshot_of(accepted_rules const& rules)
 {
@@ -334,8 +337,9 @@
     return message;
 }
 
-/// Peers run ahead of this node's log, behind it, or lie; the node's ledger never
-/// differs from the log's, what is in force never steps back, and in the end all agree.
+/// Peers offer configurations that are ahead of this VM's log or behind it. The VM's
+/// ledger must never differ from its log, the revision in force must never decrease, and
+/// in the end it must be that of the whole log.
 RC_GTEST_PROP(ledger_store, peers_never_move_the_ledger_nor_set_it_back, ())
 {
     auto const    log = *any_log();
@@ -361,7 +365,7 @@
 
 RC_GTEST_PROP(ledger_store, a_peer_that_lies_is_overruled_by_the_log, ())
 {
-    start_logging("error"); // a warning a lie
+    start_logging("error"); // each false configuration would log a warning
     auto const   log = *any_log();
     auto const   at = *rc::gen::inRange<std::size_t>(0, log.size() + 1);
     auto const   claimed = *rc::gen::inRange<std::uint64_t>(1, log.size() + 2);
--- a/tests/property/lease_property_test.cpp
+++ b/tests/property/lease_property_test.cpp
@@ -1,5 +1,5 @@
-// Leases under any interleaving, repetition, loss and late effect of their records, with
-// processes whose clocks drift, that pause and that start again.
+// Property tests of leases: records are interleaved, repeated, lost and delayed, while
+// clocks drift and processes pause and restart.
 //
 // Index: 1 model, 2 properties
 #include "ledger/lease_agent.hpp"
@@ -23,18 +23,19 @@
 constexpr lease_terms  terms{millis{1000}, millis{300}, millis{100}};
 constexpr int          processes = 3;
 constexpr std::int64_t parts_per_thousand = 1000;
-/// Two clocks that are 45 in 1000 fast and slow differ by less than `drift` in a lease.
+/// Per 1000. Within one lease, a clock that is 45 in 1000 fast and one that is as slow
+/// differ by less than `drift`.
 constexpr std::int64_t fastest_drift = 45;
 
-/// A process with its own clock, its own reading of the log and its own agent.
+/// A process with its own clock, read position in the log and lease agent.
 struct process
 {
-    std::int64_t                 drift = 0; // of 1000
+    std::int64_t                 drift = 0; // per 1000
     std::int64_t                 clock_start = 0;
     std::string                  holder;
     ledger                       view;
     boot_clock::time_point       read_at{};
-    boot_clock::time_point       clock_read{}; // may be long before it is used
+    boot_clock::time_point       clock_read{}; // may be used long after it was read
     std::string                  pending;
     std::unique_ptr<lease_agent> agent;
 
@@ -50,7 +51,7 @@
     }
 };
 
-/// The log, the records on their way to it, and all processes.
+/// The log, the records in flight to it, and all processes.
 class model
 {
 public:
@@ -106,7 +107,8 @@
         }
     }
 
-    /// The record takes effect, now or late; with `again` it may do so once more.
+    /// Appends a record in flight to the log; with `again` it stays in flight and can
+    /// take effect once more.
     void deliver(std::size_t which, bool again)
     {
         if (on_their_way_.empty())
@@ -168,7 +170,7 @@
         return count;
     }
 
-    /// Everything works for a while.
+    /// Runs all processes for 6 s without faults.
     void run_undisturbed()
     {
         for (int round = 0; round < 60; ++round)
@@ -211,12 +213,12 @@
     std::vector<wire::log_record> on_their_way_;
 };
 
-/// One thing that happens: what, to which process or record, how much.
+/// One event: its kind, the process or record that it concerns, an amount.
 using happening = std::tuple<int, std::size_t, int>;
 
 rc::Gen<std::vector<happening>> happenings()
 {
-    // The weights let leases come about: steps, deliveries and reads are the most common.
+    // Steps, deliveries and reads have the highest weights, so that leases are acquired.
     auto const kind = rc::gen::weightedElement<int>(
         {{4, 0}, {4, 1}, {6, 2}, {8, 3}, {8, 4}, {1, 5}, {1, 6}, {1, 7}, {1, 8}});
     return rc::gen::container<std::vector<happening>>(rc::gen::tuple(
@@ -264,7 +266,7 @@
     std::vector<std::int64_t> drifts;
     for (int index = 0; index < processes; ++index)
     {
-        // The extremes are the hard case, so most clocks have them.
+        // Most clocks drift by the maximum, which is the hardest case.
         drifts.push_back(*rc::gen::weightedOneOf<std::int64_t>(
             {{3, rc::gen::elementOf(std::vector{-fastest_drift, fastest_drift})},
              {1, rc::gen::inRange<std::int64_t>(-fastest_drift, fastest_drift + 1)}}));
@@ -285,7 +287,7 @@
     }
 }
 
-/// Longer runs, that begin where a holder has come about.
+/// Longer runs that begin with an established holder.
 RC_GTEST_PROP(lease_property, at_most_one_holder_after_an_undisturbed_start, ())
 {
     model world(any_drifts());
@@ -305,7 +307,8 @@
     RC_ASSERT(world.holders() == 1);
 }
 
-/// The holder stops renewing at some point; rivals look as often as they can.
+/// The holder stops renewing at some point, while the other processes try to claim as
+/// often as they can.
 RC_GTEST_PROP(lease_property, at_most_one_holder_when_a_lease_lapses, ())
 {
     model world(any_drifts());
@@ -334,9 +337,9 @@
     }
 }
 
-/// A renewal and a release of the same holder are on their way at once; either may take
-/// effect late or twice, while a rival reads, claims and takes over. The few kinds of
-/// happenings make the long orders likely that a fault here needs.
+/// A renewal and a release of the same holder are in flight at once; either can take
+/// effect late or twice, while another process reads, claims and takes over. Only a few
+/// kinds of events are drawn, so that the long sequences that expose a fault are likely.
 RC_GTEST_PROP(lease_property, at_most_one_holder_around_a_release, ())
 {
     model world(any_drifts());
--- a/tests/unit/drain_fold_test.cpp
+++ b/tests/unit/drain_fold_test.cpp
@@ -1,4 +1,4 @@
-// The fold of operators' drains.
+// Tests of the fold of operators' drain orders.
 #include "ledger/drain_fold.hpp"
 
 #include "wire.pb.h"
@@ -41,8 +41,8 @@
     EXPECT_EQ(fold, drain_fold{});
 }
 
-// A node that took the list from a peer and then reads the log from the start must hold
-// the same as one that read the log alone: an old record must not undo a newer one.
+// A VM applies a peer's list and then reads the log from the start. The old records must
+// not undo newer ones: the result is the same as from the log alone.
 RC_GTEST_PROP(drain_fold, a_peers_list_and_the_log_agree,
               (std::vector<std::pair<bool, std::uint8_t>> const& changes))
 {
