--- a/src/ledger/call_fold.cpp
+++ b/src/ledger/call_fold.cpp
@@ -69,21 +69,22 @@
     entry.body = result.body();
     entry.body_left_out = result.body_left_out();
     entry.last_offset = offset;
-    note_body(result.key_hash(), entry);
+    record_body(result.key_hash(), entry);
     return true;
 }
 
-/// Drops the oldest body once more than `bodies_kept` are stored. Without this limit a
-/// snapshot would hold all response bodies of the log's retention time. A repeated
-/// request whose body was dropped gets only the status.
-void call_fold::note_body(std::string const& key_hash, call_entry& entry)
+/// Adds an entry's body to the index of bodies, and drops the oldest body once more than
+/// `max_stored_bodies` are stored. Without this limit a snapshot would hold all response
+/// bodies of the log's retention time. A repeated request whose body was dropped gets
+/// only the status.
+void call_fold::record_body(std::string const& key_hash, call_entry& entry)
 {
     if (entry.body.empty())
     {
         return;
     }
     bodies_.insert({entry.last_offset, key_hash});
-    if (bodies_.size() <= bodies_kept)
+    if (bodies_.size() <= max_stored_bodies)
     {
         return;
     }
@@ -171,7 +172,7 @@
                                             .body = saved.body(),
                                             .body_left_out = saved.body_left_out(),
                                             .last_offset = saved.last_offset()};
-        value.note_body(saved.key_hash(), value.entries_[saved.key_hash()]);
+        value.record_body(saved.key_hash(), value.entries_[saved.key_hash()]);
     }
     for (auto const& saved : state.released())
     {
--- a/src/ledger/call_fold.hpp
+++ b/src/ledger/call_fold.hpp
@@ -76,10 +76,10 @@
     bool operator==(call_fold const&) const = default;
 
 private:
-    static constexpr std::size_t bodies_kept =
-        1024; // newest responses stored with a body
+    /// Only the newest responses are stored with their bodies.
+    static constexpr std::size_t max_stored_bodies = 1024;
 
-    void note_body(std::string const& key_hash, call_entry& entry);
+    void record_body(std::string const& key_hash, call_entry& entry);
 
     std::map<std::string, call_entry>               entries_;
     std::map<std::string, std::uint64_t>            released_; // request id to offset
--- a/src/ledger/configuration_fold.cpp
+++ b/src/ledger/configuration_fold.cpp
@@ -34,8 +34,8 @@
         return false;
     }
     bool const accepted = change.base_revision() == current_.revision;
-    remember({change.change_id(), offset, change.base_revision(), accepted,
-              change.author(), change.at_unix_ms()});
+    add_to_history({change.change_id(), offset, change.base_revision(), accepted,
+                    change.author(), change.at_unix_ms()});
     if (accepted)
     {
         current_ = {offset, change.change_id(), change.rules(), change.author()};
@@ -52,11 +52,11 @@
     return added || worse;
 }
 
-void configuration_fold::remember(change_note note)
+void configuration_fold::add_to_history(change_entry note)
 {
     verdicts_[note.change_id] = note.accepted;
     history_.push_back(std::move(note));
-    if (history_.size() > remembered_changes)
+    if (history_.size() > max_changes)
     {
         verdicts_.erase(history_.front().change_id);
         history_.pop_front();
@@ -90,7 +90,7 @@
     return found->second ? change_verdict::accepted : change_verdict::conflict;
 }
 
-std::deque<change_note> const& configuration_fold::history() const noexcept
+std::deque<change_entry> const& configuration_fold::history() const noexcept
 {
     return history_;
 }
@@ -124,8 +124,8 @@
     fold.current_ = read_rules(state.current());
     for (auto const& entry : state.verdicts())
     {
-        fold.remember({entry.change_id(), entry.offset(), entry.base_revision(),
-                       entry.accepted(), entry.author(), entry.at_unix_ms()});
+        fold.add_to_history({entry.change_id(), entry.offset(), entry.base_revision(),
+                             entry.accepted(), entry.author(), entry.at_unix_ms()});
     }
     for (auto const& entry : state.withdrawn())
     {
--- a/src/ledger/configuration_fold.hpp
+++ b/src/ledger/configuration_fold.hpp
@@ -1,7 +1,7 @@
 // Fold of configuration changes into a single chain of revisions that is the same for all
 // readers of the log.
 //
-// Index: 1 accepted_rules, 2 change_note, 3 configuration_fold
+// Index: 1 accepted_rules, 2 change_entry, 3 configuration_fold
 #ifndef MARIGOLDCRANK_LEDGER_CONFIGURATION_FOLD_HPP
 #define MARIGOLDCRANK_LEDGER_CONFIGURATION_FOLD_HPP
 
@@ -38,7 +38,7 @@
 void           write_rules(accepted_rules const& value, wire::config_snapshot& message);
 
 /// An entry of the history of changes; the rules text is left out.
-struct change_note
+struct change_entry
 {
     std::string   change_id;
     std::uint64_t offset = 0;        // the revision, if the change was accepted
@@ -47,7 +47,7 @@
     std::string   author;
     std::uint64_t at_unix_ms = 0; // 0   ms; sender's wall clock, for display only
 
-    bool operator==(change_note const&) const = default;
+    bool operator==(change_entry const&) const = default;
 };
 
 /// Outcome of a change, looked up by its id.
@@ -66,7 +66,7 @@
 public:
     /// Length of the history. An id that was dropped from it can't be accepted a second
     /// time: its base revision is lower than the current revision, which only increases.
-    static constexpr std::size_t remembered_changes = 1024;
+    static constexpr std::size_t max_changes = 1024;
 
     /// True if the change was accepted; its offset becomes the current revision. A
     /// repeated id keeps its first outcome and returns false.
@@ -81,8 +81,8 @@
     /// Withdrawn keys: id, and whether the key was compromised.
     std::map<std::string, bool> const& withdrawn_keys() const noexcept;
 
-    change_verdict                 verdict(std::string const& change_id) const;
-    std::deque<change_note> const& history() const noexcept; // oldest first
+    change_verdict                  verdict(std::string const& change_id) const;
+    std::deque<change_entry> const& history() const noexcept; // oldest first
 
     void                      save(wire::config_state_snapshot& state) const;
     static configuration_fold restored(wire::config_state_snapshot const& state);
@@ -90,11 +90,11 @@
     bool operator==(configuration_fold const&) const = default;
 
 private:
-    void remember(change_note note);
+    void add_to_history(change_entry note);
 
     accepted_rules              current_;
     std::map<std::string, bool> withdrawn_;
-    std::deque<change_note>     history_;
+    std::deque<change_entry>    history_;
     std::map<std::string, bool> verdicts_; // change id, accepted; for each of history_
 };
 
--- a/src/ledger/duty_log.cpp
+++ b/src/ledger/duty_log.cpp
@@ -81,7 +81,7 @@
 
 duty_log::duty_log(std::string self, duty_lease_options options,
                    boot_clock::time_point started)
-    : self_(std::move(self)), options_(options), heard_(started)
+    : self_(std::move(self)), options_(options), last_read_at_(started)
 {
 }
 
@@ -89,7 +89,7 @@
 {
     ++number_;
     sent_[number_] = now;
-    while (sent_.size() > most_windows)
+    while (sent_.size() > max_windows)
     {
         sent_.erase(sent_.begin());
     }
@@ -104,7 +104,7 @@
         return;
     }
     end_ = offset + 1;
-    heard_ = now;
+    last_read_at_ = now;
     if (record.kind == duty_kind::claim)
     {
         epoch_ = offset + 1;
@@ -118,15 +118,15 @@
     if (record.kind == duty_kind::change)
     {
         std::erase_if(changing_, [&](auto const& entry)
-                      { return now - entry.second.heard > change_kept; });
+                      { return now - entry.second.heard > change_retention; });
         changing_[record.server] = {now, record.prefill};
     }
     if (record.kind == duty_kind::renew)
     {
         reported_ = std::max(reported_, record.window);
-        later_ = record.later;
+        reported_after_ = record.later;
     }
-    while (sealed_.size() > most_windows)
+    while (sealed_.size() > max_windows)
     {
         sealed_.erase(sealed_.begin());
     }
@@ -143,7 +143,7 @@
     if (offset >= end_)
     {
         end_ = offset + 1;
-        heard_ = now;
+        last_read_at_ = now;
     }
 }
 
@@ -154,7 +154,7 @@
 
 boot_clock::duration duty_log::silence(boot_clock::time_point now) const
 {
-    return now - heard_;
+    return now - last_read_at_;
 }
 
 bool duty_log::may_claim(boot_clock::time_point now) const
@@ -196,7 +196,7 @@
 
 bool duty_log::reported(std::int64_t window) const
 {
-    return window <= reported_ || later_.count(window) > 0;
+    return window <= reported_ || reported_after_.count(window) > 0;
 }
 
 std::int64_t duty_log::reported_up_to() const noexcept
--- a/src/ledger/duty_log.hpp
+++ b/src/ledger/duty_log.hpp
@@ -129,13 +129,14 @@
     std::int64_t reported_up_to() const noexcept;
 
 private:
-    // 64     sealed windows and sent appends stored; far more than are ever due at once
-    static constexpr std::size_t most_windows = 64;
-    static constexpr millis change_kept{30000}; // 30000  ms; longer than any change takes
+    // 64     sealed windows stored, and sent appends; far more than are ever due at once
+    static constexpr std::size_t max_windows = 64;
+    // 30000  ms an announced change is stored; longer than any change takes
+    static constexpr millis change_retention{30000};
 
     std::string                                     self_;
     duty_lease_options                              options_;
-    boot_clock::time_point                          heard_;
+    boot_clock::time_point                          last_read_at_;
     std::uint64_t                                   end_ = 0;
     std::uint64_t                                   epoch_ = 0;
     std::string                                     holder_;
@@ -144,8 +145,8 @@
     boot_clock::time_point                          valid_until_{};
     std::map<std::int64_t, usage_counts>            sealed_;
     std::map<std::string, announced_change>         changing_;
-    std::int64_t           reported_ = 0; // no gap up to this one
-    std::set<std::int64_t> later_;        // reported after reported_
+    std::int64_t           reported_ = 0;   // no gap up to this one
+    std::set<std::int64_t> reported_after_; // reported after reported_
 };
 
 } // namespace marigoldcrank
--- a/src/ledger/lease_agent.hpp
+++ b/src/ledger/lease_agent.hpp
@@ -59,7 +59,7 @@
 class lease_agent
 {
 public:
-    lease_agent(std::string duty, std::string holder, lease_terms terms);
+    lease_agent(std::string duty, std::string holder, lease_terms durations);
 
     /// The claim or renewal that is due, if any. The lease runs from `now`, so the caller
     /// reads the clock before it sends the record.
@@ -92,16 +92,16 @@
         bool operator==(pending_record const&) const = default;
     };
 
-    bool own(lease_state const& state) const;
+    bool is_own(lease_state const& state) const;
     bool may_claim(lease_view const& view, boot_clock::time_point now) const;
 
     std::string                           duty_;
     std::string                           holder_;
-    lease_terms                           terms_;
+    lease_terms                           durations_;
     std::optional<pending_record>         pending_;
     std::optional<held_lease>             held_;
     std::optional<boot_clock::time_point> last_sent_;
-    std::uint64_t                         given_up_ = 0; // newest epoch released
+    std::uint64_t                         released_epoch_ = 0; // newest epoch released
 };
 
 } // namespace marigoldcrank
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -46,7 +46,7 @@
     case wire::log_record::kOutcome:
         return fold_order(offset, record);
     case wire::log_record::kLedger:
-        return note_snapshot(offset, record.ledger());
+        return apply_snapshot(offset, record.ledger());
     case wire::log_record::kCall:
         return calls_.apply(offset, record.call());
     case wire::log_record::kCallFree:
@@ -96,7 +96,7 @@
 
 /// The only new information in a snapshot, for a reader that has folded the records
 /// before it, is how far the log was truncated.
-bool ledger::note_snapshot(std::uint64_t offset, wire::ledger_snapshot const& snapshot)
+bool ledger::apply_snapshot(std::uint64_t offset, wire::ledger_snapshot const& snapshot)
 {
     if (snapshot.through_offset() >= offset ||
         snapshot.through_offset() <= snapshot_through_)
--- a/src/ledger/ledger.hpp
+++ b/src/ledger/ledger.hpp
@@ -67,7 +67,7 @@
     bool fold(std::uint64_t offset, wire::log_record const& record);
     bool fold_usage(std::uint64_t offset, wire::log_record const& record);
     bool fold_order(std::uint64_t offset, wire::log_record const& record);
-    bool note_snapshot(std::uint64_t offset, wire::ledger_snapshot const& snapshot);
+    bool apply_snapshot(std::uint64_t offset, wire::ledger_snapshot const& snapshot);
 
     lease_fold         leases_;
     configuration_fold config_;
--- a/src/ledger/order_fold.cpp
+++ b/src/ledger/order_fold.cpp
@@ -24,15 +24,15 @@
     open_[intent.target()] = {
         intent.order_id(), intent.duty(),  intent.target(), intent.wanted(),
         intent.holder(),   intent.epoch(), offset};
-    remember(intent.order_id());
+    add_known_id(intent.order_id());
     return true;
 }
 
-void order_fold::remember(std::string const& order_id)
+void order_fold::add_known_id(std::string const& order_id)
 {
     known_ids_.insert(order_id);
     id_order_.push_back(order_id);
-    if (id_order_.size() > remembered_ids)
+    if (id_order_.size() > max_known_ids)
     {
         known_ids_.erase(id_order_.front());
         id_order_.pop_front();
@@ -101,7 +101,7 @@
     }
     for (auto const& id : snapshot.known_ids())
     {
-        value.remember(id);
+        value.add_known_id(id);
     }
     return value;
 }
--- a/src/ledger/order_fold.hpp
+++ b/src/ledger/order_fold.hpp
@@ -76,12 +76,12 @@
     bool operator==(order_fold const&) const = default;
 
 private:
-    void remember(std::string const& order_id);
+    void add_known_id(std::string const& order_id);
 
     /// Number of ids stored, so that a repeated append does not open an order again. An
     /// append repeated after more orders than this opens an order that nobody sends, see
     /// order_journal.
-    static constexpr std::size_t remembered_ids = 512;
+    static constexpr std::size_t max_known_ids = 512;
 
     std::map<std::string, open_order> open_;
     std::set<std::string>             known_ids_;
--- a/src/ledger/server_list.cpp
+++ b/src/ledger/server_list.cpp
@@ -11,26 +11,26 @@
 
 boot_clock::time_point server_list::hold_until(boot_clock::time_point now) const
 {
-    if (lost_)
+    if (store_lost_)
     {
         return boot_clock::time_point::max();
     }
-    if (!back_)
+    if (!store_returned_at_)
     {
         return now;
     }
-    auto const end = *back_ + options_.hold;
+    auto const end = *store_returned_at_ + options_.hold;
     if (catching_up_)
     {
         return std::max(end, now);
     }
-    bool const late = now - *back_ < options_.late_lapse;
+    bool const late = now - *store_returned_at_ < options_.late_expiry;
     return late ? std::min(end, now + options_.late_hold) : now;
 }
 
 bool server_list::put(backend_server const& server)
 {
-    lapsed_.erase(server.id);
+    hold_ends_.erase(server.id);
     auto const [at, added] = servers_.try_emplace(server.id, server);
     bool const changed = added || at->second != server;
     at->second = server;
@@ -46,9 +46,9 @@
     auto const until = hold_until(now);
     if (until > now)
     {
-        return lapsed_.try_emplace(id, until).second;
+        return hold_ends_.try_emplace(id, until).second;
     }
-    lapsed_.erase(id);
+    hold_ends_.erase(id);
     servers_.erase(id);
     return true;
 }
@@ -78,19 +78,19 @@
 
 void server_list::store_lost()
 {
-    lost_ = true;
+    store_lost_ = true;
 }
 
 void server_list::store_answered(boot_clock::time_point now)
 {
-    if (!lost_)
+    if (!store_lost_)
     {
         return;
     }
-    lost_ = false;
+    store_lost_ = false;
     catching_up_ = true;
-    back_ = now;
-    for (auto& [id, until] : lapsed_)
+    store_returned_at_ = now;
+    for (auto& [id, until] : hold_ends_)
     {
         until = now + options_.hold;
     }
@@ -103,14 +103,14 @@
 
 bool server_list::usable(std::string const& id, boot_clock::time_point now) const
 {
-    auto const lapsed = lapsed_.find(id);
-    return lapsed == lapsed_.end() || now < lapsed->second;
+    auto const held = hold_ends_.find(id);
+    return held == hold_ends_.end() || now < held->second;
 }
 
 std::vector<std::string> server_list::expire(boot_clock::time_point now)
 {
     std::vector<std::string> gone;
-    for (auto const& [id, until] : lapsed_)
+    for (auto const& [id, until] : hold_ends_)
     {
         if (until <= now)
         {
@@ -119,7 +119,7 @@
     }
     for (auto const& id : gone)
     {
-        lapsed_.erase(id);
+        hold_ends_.erase(id);
         servers_.erase(id);
     }
     return gone;
--- a/src/ledger/server_list.hpp
+++ b/src/ledger/server_list.hpp
@@ -24,10 +24,15 @@
 
 struct server_list_options
 {
-    millis hold{2000};       // 2000  ms after an outage; live servers renew within this
-    millis late_lapse{1000}; // 1000  ms after an outage in which entries may still expire
-    millis late_hold{700};   // 700   ms; with the interval between reads less than the
-                             //       2 s after which a leaving server may get no work
+    /// 2000  ms after an outage; live servers renew their entries within this.
+    millis hold{2000};
+
+    /// 1000  ms after an outage in which entries may still expire.
+    millis late_expiry{1000};
+
+    /// 700  ms; with the interval between two reads less than the 2 s after which a
+    /// leaving server may get no work.
+    millis late_hold{700};
 
     bool operator==(server_list_options const&) const = default;
 };
@@ -70,13 +75,12 @@
     /// Until when an entry that is dropped now stays usable; `now` if it isn't held.
     boot_clock::time_point hold_until(boot_clock::time_point now) const;
 
-    server_list_options                   options_;
-    std::map<std::string, backend_server> servers_;
-    std::map<std::string, boot_clock::time_point>
-                                          lapsed_;       // end of each missing one's hold
-    bool                                  lost_ = false; // an outage is on
-    bool                                  catching_up_ = false;
-    std::optional<boot_clock::time_point> back_; // end of the last outage
+    server_list_options                           options_;
+    std::map<std::string, backend_server>         servers_;
+    std::map<std::string, boot_clock::time_point> hold_ends_; // of missing entries
+    bool                                          store_lost_ = false; // an outage is on
+    bool                                          catching_up_ = false;
+    std::optional<boot_clock::time_point> store_returned_at_; // end of the last outage
 };
 
 } // namespace marigoldcrank
--- a/src/ledger/usage_fold.cpp
+++ b/src/ledger/usage_fold.cpp
@@ -30,12 +30,12 @@
     auto const [place, added] = counted_.try_emplace(name);
     if (added)
     {
-        appeared_.push_back(name);
+        incarnation_order_.push_back(name);
     }
-    if (appeared_.size() > kept_incarnations)
+    if (incarnation_order_.size() > max_incarnations)
     {
-        counted_.erase(appeared_.front());
-        appeared_.pop_front();
+        counted_.erase(incarnation_order_.front());
+        incarnation_order_.pop_front();
     }
     return place->second;
 }
@@ -62,10 +62,10 @@
             continue;
         }
         sequences.add(own);
-        auto& figure = open_[{delta.workspace(), delta.model()}];
-        figure.prompt_tokens += delta.prompt_tokens();
-        figure.output_tokens += delta.output_tokens();
-        figure.calls += delta.calls();
+        auto& totals = open_[{delta.workspace(), delta.model()}];
+        totals.prompt_tokens += delta.prompt_tokens();
+        totals.output_tokens += delta.output_tokens();
+        totals.calls += delta.calls();
         any = true;
     }
     return any;
@@ -99,7 +99,7 @@
 void usage_fold::forget_reported()
 {
     while (!sealed_.empty() && sealed_.begin()->first <= last_reported_ &&
-           sealed_.begin()->first + kept_windows <= last_sealed_)
+           sealed_.begin()->first + max_reported_windows <= last_sealed_)
     {
         sealed_.erase(sealed_.begin());
     }
@@ -147,14 +147,14 @@
 
 void write_table(usage_table const& table, figure_list& list)
 {
-    for (auto const& [key, figure] : table)
+    for (auto const& [key, totals] : table)
     {
         auto* entry = list.Add();
         entry->set_workspace(key.first);
         entry->set_model(key.second);
-        entry->set_prompt_tokens(figure.prompt_tokens);
-        entry->set_output_tokens(figure.output_tokens);
-        entry->set_calls(figure.calls);
+        entry->set_prompt_tokens(totals.prompt_tokens);
+        entry->set_output_tokens(totals.output_tokens);
+        entry->set_calls(totals.calls);
     }
 }
 
@@ -172,7 +172,7 @@
 
 void usage_fold::save(wire::usage_state_snapshot& state) const
 {
-    for (auto const& name : appeared_)
+    for (auto const& name : incarnation_order_)
     {
         auto const& sequences = counted_.at(name);
         auto*       entry = state.add_counted();
--- a/src/ledger/usage_fold.hpp
+++ b/src/ledger/usage_fold.hpp
@@ -1,7 +1,7 @@
 // Fold of usage records: counts every usage delta once and assigns it to a window; a seal
 // makes a window's figures final.
 //
-// Index: 1 usage_figure, 2 sealed_window, 3 usage_fold
+// Index: 1 usage_totals, 2 sealed_window, 3 usage_fold
 #ifndef MARIGOLDCRANK_LEDGER_USAGE_FOLD_HPP
 #define MARIGOLDCRANK_LEDGER_USAGE_FOLD_HPP
 
@@ -24,17 +24,17 @@
 {
 
 /// Usage totals of one workspace and model, in tokens and calls.
-struct usage_figure
+struct usage_totals
 {
     std::uint64_t prompt_tokens = 0;
     std::uint64_t output_tokens = 0;
     std::uint64_t calls = 0;
 
-    auto operator<=>(usage_figure const&) const = default;
+    auto operator<=>(usage_totals const&) const = default;
 };
 
 /// Totals by workspace and model.
-using usage_table = std::map<std::pair<std::string, std::string>, usage_figure>;
+using usage_table = std::map<std::pair<std::string, std::string>, usage_totals>;
 
 /// A window whose figures are final.
 struct sealed_window
@@ -54,12 +54,12 @@
 public:
     /// Number of last windows whose figures stay available to operators after their
     /// report.
-    static constexpr std::uint64_t kept_windows = 128;
+    static constexpr std::uint64_t max_reported_windows = 128;
 
     /// Number of incarnations whose counted sequences are stored; the one that appeared
     /// first is dropped first. A repeated append of a dropped incarnation would be
     /// counted twice.
-    static constexpr std::size_t kept_incarnations = 4096;
+    static constexpr std::size_t max_incarnations = 4096;
 
     /// Adds the batch to the open window. True if any delta was counted; deltas that were
     /// counted before are skipped.
@@ -112,8 +112,8 @@
     void               forget_reported();
 
     std::map<incarnation_name, counted_sequences> counted_;
-    std::deque<incarnation_name>           appeared_; // keys of counted_, oldest first
-    usage_table                            open_;
+    std::deque<incarnation_name> incarnation_order_; // keys of counted_, oldest first
+    usage_table                  open_;
     std::map<std::uint64_t, sealed_window> sealed_;
     std::uint64_t                          last_sealed_ = 0;
     std::uint64_t                          last_reported_ = 0;
--- a/src/ledger/usage_windows.cpp
+++ b/src/ledger/usage_windows.cpp
@@ -59,7 +59,7 @@
     auto const window = window_of(unix_ms);
     ++counts_[window][workspace];
     grown_.insert(window);
-    while (counts_.size() > most_windows)
+    while (counts_.size() > max_windows)
     {
         counts_.erase(counts_.begin());
     }
@@ -85,7 +85,7 @@
 std::vector<usage_record> usage_counter::recent(std::int64_t window) const
 {
     std::vector<usage_record> records;
-    for (auto number = window - told_windows + 1; number <= window; ++number)
+    for (auto number = window - digest_windows + 1; number <= window; ++number)
     {
         auto const found = counts_.find(number);
         if (found != counts_.end() || number == window)
@@ -111,7 +111,7 @@
 }
 
 /// True if `counts` holds each count of `part` or a larger one.
-bool within(usage_counts const& part, usage_counts const& counts)
+bool is_covered_by(usage_counts const& part, usage_counts const& counts)
 {
     return std::all_of(part.begin(), part.end(),
                        [&](auto const& entry)
@@ -123,7 +123,7 @@
 
 } // namespace
 
-void usage_sum::merge(figures& known, usage_record const& record)
+void usage_sum::merge(records_by_writer& known, usage_record const& record)
 {
     auto const [entry, added] = known.try_emplace(record.writer, record);
     if (!added)
@@ -139,7 +139,7 @@
 
 void usage_sum::hear(usage_record const& record)
 {
-    merge(windows_[record.window].heard, record);
+    merge(windows_[record.window].received, record);
 }
 
 usage_counts usage_sum::of(std::int64_t window) const
@@ -151,7 +151,7 @@
         return result;
     }
     auto newest = found->second.logged;
-    for (auto const& [writer, record] : found->second.heard)
+    for (auto const& [writer, record] : found->second.received)
     {
         merge(newest, record);
     }
@@ -179,7 +179,7 @@
     }
     auto const logged = window->second.logged.find(record.writer);
     return logged != window->second.logged.end() &&
-           within(record.counts, logged->second.counts);
+           is_covered_by(record.counts, logged->second.counts);
 }
 
 std::vector<usage_record> usage_sum::missing_before(std::int64_t window) const
@@ -187,7 +187,7 @@
     std::vector<usage_record> records;
     for (auto const& [number, sum] : windows_)
     {
-        for (auto const& [writer, record] : sum.heard)
+        for (auto const& [writer, record] : sum.received)
         {
             if (number < window && !holds(record))
             {
@@ -241,21 +241,23 @@
     // A VM sends counts of a later window only after the end of this one.
     return std::any_of(windows_.upper_bound(window), windows_.end(),
                        [&](auto const& later)
-                       { return later.second.heard.count(writer) > 0; });
+                       { return later.second.received.count(writer) > 0; });
 }
 
-bool usage_sum::succeeded(std::string const& writer) const
+bool usage_sum::has_newer_incarnation(std::string const& writer) const
 {
     auto const vm = writer.substr(0, writer.find('/') + 1);
-    auto const newer = [&](figures const& known)
+    auto const newer = [&](records_by_writer const& known)
     {
         auto const last = known.lower_bound(vm + '~'); // after all its incarnations
         return last != known.begin() && std::prev(last)->first.starts_with(vm) &&
                std::prev(last)->first > writer;
     };
     return std::any_of(windows_.begin(), windows_.end(),
-                       [&](auto const& each)
-                       { return newer(each.second.logged) || newer(each.second.heard); });
+                       [&](auto const& each) {
+                           return newer(each.second.logged) ||
+                                  newer(each.second.received);
+                       });
 }
 
 bool usage_sum::complete(std::int64_t window) const
@@ -265,15 +267,15 @@
     {
         return false;
     }
-    auto const all_closed = [&](figures const& writers)
+    auto const all_closed = [&](records_by_writer const& writers)
     {
         return std::all_of(writers.begin(), writers.end(),
                            [&](auto const& entry) {
                                return closed(entry.first, window) ||
-                                      succeeded(entry.first);
+                                      has_newer_incarnation(entry.first);
                            });
     };
-    return all_closed(before->second.logged) && all_closed(before->second.heard);
+    return all_closed(before->second.logged) && all_closed(before->second.received);
 }
 
 void usage_sum::forget_before(std::int64_t window)
--- a/src/ledger/usage_windows.hpp
+++ b/src/ledger/usage_windows.hpp
@@ -72,9 +72,9 @@
     std::int64_t                         taken_before_ = 0;
 
     // 16    windows stored; far more than are ever requested
-    static constexpr std::size_t most_windows = 16;
+    static constexpr std::size_t max_windows = 16;
     // 3     windows in a digest; older ones are in the log already, or due for it
-    static constexpr std::int64_t told_windows = 3;
+    static constexpr std::int64_t digest_windows = 3;
 };
 
 /// Sums the newest counts of each VM.
@@ -116,21 +116,21 @@
     void forget_before(std::int64_t window);
 
 private:
-    using figures = std::map<std::string, usage_record>; // by writer
+    using records_by_writer = std::map<std::string, usage_record>;
 
     struct window_sum
     {
-        figures logged; // from the log
-        figures heard;  // from digests
+        records_by_writer logged;   // from the log
+        records_by_writer received; // from digests
     };
 
-    static void merge(figures& known, usage_record const& record);
+    static void merge(records_by_writer& known, usage_record const& record);
 
     /// True if the writer counts nothing more in this window.
     bool closed(std::string const& writer, std::int64_t window) const;
 
     /// True if a later incarnation of the same VM is known, so that this one has ended.
-    bool succeeded(std::string const& writer) const;
+    bool has_newer_incarnation(std::string const& writer) const;
 
     std::map<std::int64_t, window_sum> windows_;
 };
--- a/tests/property/duty_log_property_test.cpp
+++ b/tests/property/duty_log_property_test.cpp
@@ -21,7 +21,7 @@
 constexpr millis step{100};
 
 /// An append in flight: it takes effect at `due` if the log still ends at `at`.
-struct flying_append
+struct pending_append
 {
     std::uint64_t          at = 0;
     duty_record            record;
@@ -34,15 +34,15 @@
 {
     duty_log               log;
     boot_clock::time_point paused_until{};
-    boot_clock::time_point next_look{};
+    boot_clock::time_point next_poll{};
     bool                   waiting = false; // for the outcome of an append
 };
 
 /// Simulates a few VMs and a log in steps of 100 ms; the faults of each step are random.
-class duty_world
+class duty_cluster
 {
 public:
-    explicit duty_world(std::size_t vms)
+    explicit duty_cluster(std::size_t vms)
     {
         for (std::size_t index = 0; index < vms; ++index)
         {
@@ -53,11 +53,11 @@
     void advance()
     {
         now_ += step;
-        land_appends();
+        deliver_appends();
         for (std::size_t index = 0; index < vms_.size(); ++index)
         {
-            trouble(index);
-            act(index);
+            inject_fault(index);
+            run_vm(index);
         }
         check();
     }
@@ -70,14 +70,14 @@
                         boot_clock::time_point{}};
     }
 
-    void trouble(std::size_t index)
+    void inject_fault(std::size_t index)
     {
-        auto const dice = *rc::gen::inRange(0, 200);
-        if (dice == 0)
+        auto const draw = *rc::gen::inRange(0, 200);
+        if (draw == 0)
         {
             vms_[index].paused_until = now_ + step * *rc::gen::inRange(1, 80);
         }
-        else if (dice == 1)
+        else if (draw == 1)
         {
             ++incarnations_;
             vms_[index] = {duty_log{"vm-" + std::to_string(index) + "/" +
@@ -87,14 +87,14 @@
         }
     }
 
-    void act(std::size_t index)
+    void run_vm(std::size_t index)
     {
         auto& vm = vms_[index];
-        if (now_ < vm.paused_until || now_ < vm.next_look || vm.waiting)
+        if (now_ < vm.paused_until || now_ < vm.next_poll || vm.waiting)
         {
             return;
         }
-        vm.next_look = now_ + millis{900};
+        vm.next_poll = now_ + millis{900};
         bool const reads = *rc::gen::inRange(0, 10) != 0;
         if (reads)
         {
@@ -110,14 +110,14 @@
 
     void send(std::size_t index, duty_kind kind)
     {
-        auto&         vm = vms_[index];
-        flying_append append{.at = vm.log.end(), .vm = index};
+        auto&          vm = vms_[index];
+        pending_append append{.at = vm.log.end(), .vm = index};
         append.record = {.kind = kind, .holder = self_of(index)};
         append.record.number = vm.log.begin_append(now_);
         append.due = now_ + step * *rc::gen::weightedElement<int>({{9, 0}, {1, 40}});
         append.answered = *rc::gen::inRange(0, 8) != 0;
         vm.waiting = append.answered;
-        flying_.push_back(append);
+        pending_.push_back(append);
     }
 
     std::string self_of(std::size_t index) const
@@ -125,9 +125,9 @@
         return vms_[index].log.self();
     }
 
-    void land_appends()
+    void deliver_appends()
     {
-        for (auto at = flying_.begin(); at != flying_.end();)
+        for (auto at = pending_.begin(); at != pending_.end();)
         {
             if (at->due > now_)
             {
@@ -149,7 +149,7 @@
                     vm.log.absorb(at->record, at->at, now_);
                 }
             }
-            at = flying_.erase(at);
+            at = pending_.erase(at);
         }
     }
 
@@ -171,33 +171,33 @@
             if (now_ >= vm.paused_until && vm.log.held_until(now_))
             {
                 ++holders;
-                RC_ASSERT(vm.log.epoch() >= highest_);
-                highest_ = vm.log.epoch();
+                RC_ASSERT(vm.log.epoch() >= highest_epoch_);
+                highest_epoch_ = vm.log.epoch();
             }
         }
         RC_ASSERT(holders <= 1U);
     }
 
-    boot_clock::time_point     now_{std::chrono::hours{1}};
-    std::vector<vm_state>      vms_;
-    std::vector<duty_record>   records_;
-    std::vector<flying_append> flying_;
-    std::uint64_t              highest_ = 0;
-    int                        incarnations_ = 0;
+    boot_clock::time_point      now_{std::chrono::hours{1}};
+    std::vector<vm_state>       vms_;
+    std::vector<duty_record>    records_;
+    std::vector<pending_append> pending_;
+    std::uint64_t               highest_epoch_ = 0;
+    int                         incarnations_ = 0;
 };
 
 // 2. Properties
 
 RC_GTEST_PROP(duty_log, never_two_holders_and_epochs_only_rise, ())
 {
-    duty_world world(3);
+    duty_cluster cluster(3);
     for (int count = 0; count < 250; ++count)
     {
-        world.advance();
+        cluster.advance();
     }
 }
 
-RC_GTEST_PROP(duty_log, records_come_back_from_their_form,
+RC_GTEST_PROP(duty_log, formatted_records_parse_back,
               (std::string const& holder, std::uint64_t number, std::int64_t window))
 {
     std::string name;
@@ -306,23 +306,24 @@
 // A VM's counts arrive in its records, in digests and in records that others append for
 // it, in any order and partly outdated. If they were added up, callers would be billed
 // twice.
-RC_GTEST_PROP(usage_sum, figures_of_a_vm_count_once_however_they_come, ())
+RC_GTEST_PROP(usage_sum, counts_of_a_vm_are_summed_once_whatever_their_origin, ())
 {
     usage_counter             counter("vm", {}, millis{1000});
-    std::vector<usage_record> told;
+    std::vector<usage_record> published;
     auto const                calls = *rc::gen::inRange(1, 20);
     for (int call = 0; call < calls; ++call)
     {
         counter.add("w", 1000 + call);
         for (auto& record : counter.recent(1))
         {
-            told.push_back(record);
+            published.push_back(record);
         }
     }
     usage_sum sum;
     for (int turn = 0; turn < 30; ++turn)
     {
-        auto const& record = told[*rc::gen::inRange<std::size_t>(0, told.size())];
+        auto const& record =
+            published[*rc::gen::inRange<std::size_t>(0, published.size())];
         if (*rc::gen::arbitrary<bool>())
         {
             sum.hear(record);
@@ -332,7 +333,7 @@
             sum.absorb(record);
         }
     }
-    sum.hear(told.back());
+    sum.hear(published.back());
     RC_ASSERT(sum.of(1).at("w") == calls);
     for (auto const& record : sum.missing_before(2))
     {
@@ -340,7 +341,7 @@
     }
     RC_ASSERT(sum.of(1).at("w") == calls);
     RC_ASSERT(sum.missing_before(2).empty());
-    RC_ASSERT(sum.holds(told.back()));
+    RC_ASSERT(sum.holds(published.back()));
 }
 
 // A VM is killed in an open window and restarts. Its old incarnation sends nothing more,
@@ -362,7 +363,7 @@
 
 // A VM that can't reach the store sends counts of a later window in a digest, which
 // closes the windows before.
-TEST(usage_sum, window_is_complete_once_a_later_one_is_heard_of)
+TEST(usage_sum, window_is_complete_once_counts_of_a_later_one_arrive)
 {
     usage_sum sum;
     sum.absorb({"a/100", 1, {}, {}});
@@ -405,7 +406,7 @@
 // announcing that it leaves. When such an entry was held like an expired one until the
 // next read of the list, the server got new work 2.2 s after its removal, when it may
 // have stopped.
-TEST(server_list, removal_after_an_outage_is_not_held_like_a_lapse)
+TEST(server_list, removal_after_an_outage_is_not_held_like_an_expiry)
 {
     auto const in_use = [](server_list const& list, boot_clock::time_point at)
     {
--- a/tests/property/folds_property_test.cpp
+++ b/tests/property/folds_property_test.cpp
@@ -23,10 +23,10 @@
 
 /// Derives random choices from one raw number, so that a failing log shrinks to a short
 /// one.
-class choices
+class random_choices
 {
 public:
-    explicit choices(std::uint64_t raw) : raw_(raw) {}
+    explicit random_choices(std::uint64_t raw) : raw_(raw) {}
 
     std::uint64_t below(std::uint64_t bound)
     {
@@ -39,9 +39,9 @@
     std::uint64_t raw_;
 };
 
-using log_text = std::vector<wire::log_record>; // record i has offset i + 1
+using log_records = std::vector<wire::log_record>; // record i has offset i + 1
 
-wire::config_change change_of(choices& from, ledger const& now, std::size_t step)
+wire::config_change change_of(random_choices& from, ledger const& now, std::size_t step)
 {
     wire::config_change change;
     // One change in four reuses an earlier id: a repeat, or an append that took effect
@@ -56,7 +56,7 @@
     return change;
 }
 
-wire::usage_batch batch_of(choices& from)
+wire::usage_batch batch_of(random_choices& from)
 {
     wire::usage_batch batch;
     batch.set_node("node-" + std::to_string(from.below(2)));
@@ -77,7 +77,7 @@
     return batch;
 }
 
-void fill_lease(wire::log_record& record, choices& from, ledger const& now)
+void fill_lease(wire::log_record& record, random_choices& from, ledger const& now)
 {
     auto const duty = from.below(4) != 0 ? "reporter" : "keeper";
     auto const state = now.leases().state(duty);
@@ -97,7 +97,7 @@
 }
 
 /// The fold of calls has tests of its own; here calls only have to survive a snapshot.
-void fill_call(wire::log_record& record, choices& from)
+void fill_call(wire::log_record& record, random_choices& from)
 {
     auto const key = "call-" + std::to_string(from.below(3));
     auto const request = "request-" + std::to_string(from.below(3));
@@ -120,7 +120,8 @@
 }
 
 template <class Body>
-void fill_reporter(Body& body, std::uint64_t window, choices& from, ledger const& now)
+void fill_reporter(Body& body, std::uint64_t window, random_choices& from,
+                   ledger const& now)
 {
     auto const state = now.leases().state("reporter");
     bool const deposed = from.below(4) == 0;
@@ -130,9 +131,9 @@
 }
 
 wire::log_record record_of(std::uint64_t raw, ledger const& now, std::size_t step,
-                           log_text const& before)
+                           log_records const& before)
 {
-    choices          from(raw);
+    random_choices   from(raw);
     wire::log_record record;
     auto const       kind = from.below(18);
     if (kind == 0 && !before.empty())
@@ -176,10 +177,10 @@
     return record;
 }
 
-log_text log_of(std::vector<std::uint64_t> const& raw)
+log_records log_of(std::vector<std::uint64_t> const& raw)
 {
-    log_text log;
-    ledger   now;
+    log_records log;
+    ledger      now;
     for (std::size_t step = 0; step < raw.size(); ++step)
     {
         log.push_back(record_of(raw[step], now, step, log));
@@ -188,7 +189,8 @@
     return log;
 }
 
-ledger folded(log_text const& log, std::size_t begin, std::size_t end, ledger value = {})
+ledger folded(log_records const& log, std::size_t begin, std::size_t end,
+              ledger value = {})
 {
     for (auto index = begin; index < end; ++index)
     {
@@ -197,7 +199,7 @@
     return value;
 }
 
-rc::Gen<log_text> any_log()
+rc::Gen<log_records> any_log()
 {
     return rc::gen::map(rc::gen::container<std::vector<std::uint64_t>>(
                             rc::gen::inRange<std::uint64_t>(0, 1ULL << 62U)),
@@ -206,11 +208,11 @@
 
 // 2. Ledger
 
-RC_GTEST_PROP(ledger_folds, snapshot_and_rest_equal_the_whole, ())
+RC_GTEST_PROP(ledger_folds, snapshot_and_later_records_equal_the_whole_log, ())
 {
     auto const log = *any_log();
-    auto const cut = *rc::gen::inRange<std::size_t>(0, log.size() + 1);
-    auto const prefix = folded(log, 0, cut);
+    auto const split = *rc::gen::inRange<std::size_t>(0, log.size() + 1);
+    auto const prefix = folded(log, 0, split);
     // The snapshot passes through its stored text, as a reader of the log gets it.
     wire::log_record record;
     *record.mutable_ledger() = prefix.snapshot();
@@ -219,7 +221,7 @@
                              [] { return wire::log_record{}; });
     auto const restored = ledger::restored(read.ledger());
     RC_ASSERT(restored == prefix);
-    RC_ASSERT(folded(log, cut, log.size(), restored) == folded(log, 0, log.size()));
+    RC_ASSERT(folded(log, split, log.size(), restored) == folded(log, 0, log.size()));
 }
 
 RC_GTEST_PROP(ledger_folds, one_chain_of_revisions, ())
@@ -272,14 +274,14 @@
 std::uint64_t output_of(usage_table const& table)
 {
     std::uint64_t sum = 0;
-    for (auto const& [key, figure] : table)
+    for (auto const& [key, totals] : table)
     {
-        sum += figure.output_tokens;
+        sum += totals.output_tokens;
     }
     return sum;
 }
 
-RC_GTEST_PROP(ledger_folds, each_delta_counts_once_and_each_window_has_one_figure, ())
+RC_GTEST_PROP(ledger_folds, each_delta_counts_once_and_each_window_has_one_table, ())
 {
     auto const                                                    log = *any_log();
     ledger                                                        value;
@@ -340,7 +342,7 @@
 /// Peers offer configurations that are ahead of this VM's log or behind it. The VM's
 /// ledger must never differ from its log, the revision in force must never decrease, and
 /// in the end it must be that of the whole log.
-RC_GTEST_PROP(ledger_store, peers_never_move_the_ledger_nor_set_it_back, ())
+RC_GTEST_PROP(ledger_store, peers_never_change_the_ledger_nor_lower_the_revision, ())
 {
     auto const    log = *any_log();
     ledger_store  store([] {});
@@ -363,7 +365,7 @@
     RC_ASSERT(store.rules_in_force() == whole.config().current());
 }
 
-RC_GTEST_PROP(ledger_store, a_peer_that_lies_is_overruled_by_the_log, ())
+RC_GTEST_PROP(ledger_store, a_false_peer_configuration_is_overruled_by_the_log, ())
 {
     start_logging("error"); // each false configuration would log a warning
     auto const   log = *any_log();
@@ -427,13 +429,13 @@
         mark.mutable_reported()->set_epoch(1);
         ASSERT_EQ(next(mark), record_effect::effective);
     }
-    EXPECT_EQ(value.config().history().size(), configuration_fold::remembered_changes);
-    EXPECT_EQ(value.usage().incarnations(), usage_fold::kept_incarnations);
-    EXPECT_EQ(value.usage().sealed().size(), usage_fold::kept_windows);
+    EXPECT_EQ(value.config().history().size(), configuration_fold::max_changes);
+    EXPECT_EQ(value.usage().incarnations(), usage_fold::max_incarnations);
+    EXPECT_EQ(value.usage().sealed().size(), usage_fold::max_reported_windows);
     EXPECT_EQ(value.usage().last_sealed(), rounds);
 }
 
-RC_GTEST_PROP(usage_custody, overdue_batches_hold_each_kept_delta_once, ())
+RC_GTEST_PROP(usage_custody, overdue_batches_hold_each_stored_delta_once, ())
 {
     auto const sequences = *rc::gen::container<std::set<std::uint64_t>>(
         rc::gen::inRange<std::uint64_t>(1, 600));
--- a/tests/property/lease_property_test.cpp
+++ b/tests/property/lease_property_test.cpp
@@ -20,12 +20,12 @@
 
 // 1. Model
 
-constexpr lease_terms  terms{millis{1000}, millis{300}, millis{100}};
-constexpr int          processes = 3;
+constexpr lease_terms  durations{millis{1000}, millis{300}, millis{100}};
+constexpr int          process_count = 3;
 constexpr std::int64_t parts_per_thousand = 1000;
 /// Per 1000. Within one lease, a clock that is 45 in 1000 fast and one that is as slow
 /// differ by less than `drift`.
-constexpr std::int64_t fastest_drift = 45;
+constexpr std::int64_t max_drift = 45;
 
 /// A process with its own clock, read position in the log and lease agent.
 struct process
@@ -52,16 +52,16 @@
 };
 
 /// The log, the records in flight to it, and all processes.
-class model
+class lease_model
 {
 public:
-    explicit model(std::vector<std::int64_t> const& drifts)
+    explicit lease_model(std::vector<std::int64_t> const& drifts)
     {
         for (std::size_t index = 0; index < drifts.size(); ++index)
         {
-            all_.push_back({});
-            all_.back().drift = drifts[index];
-            all_.back().clock_start = static_cast<std::int64_t>(index) * 100'000;
+            processes_.push_back({});
+            processes_.back().drift = drifts[index];
+            processes_.back().clock_start = static_cast<std::int64_t>(index) * 100'000;
             restart(index);
         }
     }
@@ -73,24 +73,24 @@
 
     void restart(std::size_t which)
     {
-        auto& self = all_[which];
+        auto& self = processes_[which];
         self.holder =
             "process-" + std::to_string(which) + "/" + std::to_string(++incarnations_);
         self.view = ledger{};
         self.read_at = self.clock(now_ms_);
         self.clock_read = self.read_at;
         self.pending.clear();
-        self.agent = std::make_unique<lease_agent>("duty", self.holder, terms);
+        self.agent = std::make_unique<lease_agent>("duty", self.holder, durations);
     }
 
     void read_clock(std::size_t which)
     {
-        all_[which].clock_read = all_[which].clock(now_ms_);
+        processes_[which].clock_read = processes_[which].clock(now_ms_);
     }
 
     void step(std::size_t which)
     {
-        auto& self = all_[which];
+        auto& self = processes_[which];
         auto  record = self.agent->prepare({self.state(), self.read_at}, self.clock_read);
         if (record)
         {
@@ -100,7 +100,7 @@
 
     void release(std::size_t which)
     {
-        auto& self = all_[which];
+        auto& self = processes_[which];
         if (auto record = self.agent->prepare_release(self.state()))
         {
             send(*record);
@@ -111,12 +111,12 @@
     /// take effect once more.
     void deliver(std::size_t which, bool again)
     {
-        if (on_their_way_.empty())
+        if (in_flight_.empty())
         {
             return;
         }
-        auto const place = which % on_their_way_.size();
-        log_.push_back(on_their_way_[place]);
+        auto const place = which % in_flight_.size();
+        log_.push_back(in_flight_[place]);
         if (!again)
         {
             lose(place);
@@ -125,17 +125,16 @@
 
     void lose(std::size_t which)
     {
-        if (!on_their_way_.empty())
+        if (!in_flight_.empty())
         {
-            on_their_way_.erase(
-                on_their_way_.begin() +
-                static_cast<std::ptrdiff_t>(which % on_their_way_.size()));
+            in_flight_.erase(in_flight_.begin() +
+                             static_cast<std::ptrdiff_t>(which % in_flight_.size()));
         }
     }
 
     void read(std::size_t which, std::size_t count)
     {
-        auto& self = all_[which];
+        auto& self = processes_[which];
         for (; count > 0 && self.view.next_offset() <= log_.size(); --count)
         {
             auto const  offset = self.view.next_offset();
@@ -156,14 +155,14 @@
 
     std::optional<held_lease> held(std::size_t which) const
     {
-        auto const& self = all_[which];
+        auto const& self = processes_[which];
         return self.agent->held(self.state(), self.clock(now_ms_));
     }
 
     int holders() const
     {
         int count = 0;
-        for (std::size_t which = 0; which < all_.size(); ++which)
+        for (std::size_t which = 0; which < processes_.size(); ++which)
         {
             count += held(which) ? 1 : 0;
         }
@@ -171,21 +170,21 @@
     }
 
     /// Runs all processes for 6 s without faults.
-    void run_undisturbed()
+    void run_without_faults()
     {
         for (int round = 0; round < 60; ++round)
         {
             pass_time(100);
-            for (std::size_t which = 0; which < all_.size(); ++which)
+            for (std::size_t which = 0; which < processes_.size(); ++which)
             {
                 read_clock(which);
                 step(which);
-                while (!on_their_way_.empty())
+                while (!in_flight_.empty())
                 {
                     deliver(0, false);
                 }
             }
-            for (std::size_t which = 0; which < all_.size(); ++which)
+            for (std::size_t which = 0; which < processes_.size(); ++which)
             {
                 read(which, log_.size());
             }
@@ -201,62 +200,62 @@
     std::string send(wire::log_record record)
     {
         record.set_record_id("record-" + std::to_string(++records_));
-        on_their_way_.push_back(record);
+        in_flight_.push_back(record);
         return record.record_id();
     }
 
     std::int64_t                  now_ms_ = 0;
     int                           incarnations_ = 0;
     int                           records_ = 0;
-    std::vector<process>          all_;
+    std::vector<process>          processes_;
     std::vector<wire::log_record> log_;
-    std::vector<wire::log_record> on_their_way_;
+    std::vector<wire::log_record> in_flight_;
 };
 
 /// One event: its kind, the process or record that it concerns, an amount.
-using happening = std::tuple<int, std::size_t, int>;
+using model_event = std::tuple<int, std::size_t, int>;
 
-rc::Gen<std::vector<happening>> happenings()
+rc::Gen<std::vector<model_event>> any_events()
 {
     // Steps, deliveries and reads have the highest weights, so that leases are acquired.
     auto const kind = rc::gen::weightedElement<int>(
         {{4, 0}, {4, 1}, {6, 2}, {8, 3}, {8, 4}, {1, 5}, {1, 6}, {1, 7}, {1, 8}});
-    return rc::gen::container<std::vector<happening>>(rc::gen::tuple(
+    return rc::gen::container<std::vector<model_event>>(rc::gen::tuple(
         kind, rc::gen::inRange<std::size_t>(0, 12), rc::gen::inRange(0, 12)));
 }
 
-void happen(model& world, happening const& what)
+void apply_event(lease_model& model, model_event const& event)
 {
-    auto const [kind, which, amount] = what;
-    auto const who = which % processes;
+    auto const [kind, which, amount] = event;
+    auto const who = which % process_count;
     switch (kind)
     {
     case 0:
-        world.pass_time(amount * amount * 7);
+        model.pass_time(amount * amount * 7);
         break;
     case 1:
-        world.read_clock(who);
+        model.read_clock(who);
         break;
     case 2:
-        world.step(who);
+        model.step(who);
         break;
     case 3:
-        world.deliver(which, false);
+        model.deliver(which, false);
         break;
     case 4:
-        world.read(who, static_cast<std::size_t>(amount));
+        model.read(who, static_cast<std::size_t>(amount));
         break;
     case 5:
-        world.deliver(which, true);
+        model.deliver(which, true);
         break;
     case 6:
-        world.lose(which);
+        model.lose(which);
         break;
     case 7:
-        world.release(who);
+        model.release(who);
         break;
     default:
-        world.restart(who);
+        model.restart(who);
         break;
     }
 }
@@ -264,12 +263,12 @@
 std::vector<std::int64_t> any_drifts()
 {
     std::vector<std::int64_t> drifts;
-    for (int index = 0; index < processes; ++index)
+    for (int index = 0; index < process_count; ++index)
     {
         // Most clocks drift by the maximum, which is the hardest case.
         drifts.push_back(*rc::gen::weightedOneOf<std::int64_t>(
-            {{3, rc::gen::elementOf(std::vector{-fastest_drift, fastest_drift})},
-             {1, rc::gen::inRange<std::int64_t>(-fastest_drift, fastest_drift + 1)}}));
+            {{3, rc::gen::elementOf(std::vector{-max_drift, max_drift})},
+             {1, rc::gen::inRange<std::int64_t>(-max_drift, max_drift + 1)}}));
     }
     return drifts;
 }
@@ -278,62 +277,62 @@
 
 RC_GTEST_PROP(lease_property, at_most_one_holder_at_any_instant, ())
 {
-    model      world(any_drifts());
-    auto const story = *happenings();
-    for (auto const& what : story)
+    lease_model model(any_drifts());
+    auto const  events = *any_events();
+    for (auto const& event : events)
     {
-        happen(world, what);
-        RC_ASSERT(world.holders() <= 1);
+        apply_event(model, event);
+        RC_ASSERT(model.holders() <= 1);
     }
 }
 
 /// Longer runs that begin with an established holder.
-RC_GTEST_PROP(lease_property, at_most_one_holder_after_an_undisturbed_start, ())
+RC_GTEST_PROP(lease_property, at_most_one_holder_after_a_start_without_faults, ())
 {
-    model world(any_drifts());
-    world.run_undisturbed();
-    RC_ASSERT(world.holders() == 1);
-    auto const first = *happenings();
-    auto const second = *happenings();
-    for (auto const* story : {&first, &second})
+    lease_model model(any_drifts());
+    model.run_without_faults();
+    RC_ASSERT(model.holders() == 1);
+    auto const first = *any_events();
+    auto const second = *any_events();
+    for (auto const* events : {&first, &second})
     {
-        for (auto const& what : *story)
+        for (auto const& event : *events)
         {
-            happen(world, what);
-            RC_ASSERT(world.holders() <= 1);
+            apply_event(model, event);
+            RC_ASSERT(model.holders() <= 1);
         }
     }
-    world.run_undisturbed();
-    RC_ASSERT(world.holders() == 1);
+    model.run_without_faults();
+    RC_ASSERT(model.holders() == 1);
 }
 
 /// The holder stops renewing at some point, while the other processes try to claim as
 /// often as they can.
-RC_GTEST_PROP(lease_property, at_most_one_holder_when_a_lease_lapses, ())
+RC_GTEST_PROP(lease_property, at_most_one_holder_when_a_lease_expires, ())
 {
-    model world(any_drifts());
-    world.run_undisturbed();
-    auto const  silent = *rc::gen::inRange<std::size_t>(0, processes);
+    lease_model model(any_drifts());
+    model.run_without_faults();
+    auto const  silent = *rc::gen::inRange<std::size_t>(0, process_count);
     auto const  pause = *rc::gen::inRange(1, 8);
     bool        renewing = true;
     std::size_t other = 0;
     for (int passed = 0; passed < 1500; passed += pause)
     {
-        world.pass_time(pause);
-        other = (other + 1) % processes;
+        model.pass_time(pause);
+        other = (other + 1) % process_count;
         if (other == silent && renewing && *rc::gen::inRange(0, 4) != 0)
         {
             renewing = false;
-            world.read(other, 2);
+            model.read(other, 2);
         }
         if (other != silent || renewing)
         {
-            world.read_clock(other);
-            world.step(other);
-            world.deliver(0, false);
-            world.read(other, 2);
+            model.read_clock(other);
+            model.step(other);
+            model.deliver(0, false);
+            model.read(other, 2);
         }
-        RC_ASSERT(world.holders() <= 1);
+        RC_ASSERT(model.holders() <= 1);
     }
 }
 
@@ -342,62 +341,62 @@
 /// kinds of events are drawn, so that the long sequences that expose a fault are likely.
 RC_GTEST_PROP(lease_property, at_most_one_holder_around_a_release, ())
 {
-    model world(any_drifts());
-    world.run_undisturbed();
+    lease_model model(any_drifts());
+    model.run_without_faults();
     std::size_t holder = 0;
-    while (!world.held(holder))
+    while (!model.held(holder))
     {
         ++holder;
     }
-    auto const rival = (holder + 1) % processes;
+    auto const successor = (holder + 1) % process_count;
     if (*rc::gen::arbitrary<bool>())
     {
-        world.pass_time(300);
-        world.read_clock(holder);
-        world.step(holder);
+        model.pass_time(300);
+        model.read_clock(holder);
+        model.step(holder);
     }
-    world.release(holder);
-    auto const story = *rc::gen::container<std::vector<int>>(40, rc::gen::inRange(0, 6));
-    for (auto const what : story)
+    model.release(holder);
+    auto const events = *rc::gen::container<std::vector<int>>(40, rc::gen::inRange(0, 6));
+    for (auto const event : events)
     {
-        if (what == 0 || what == 1)
+        if (event == 0 || event == 1)
         {
-            world.deliver(what == 0 ? 0 : 1, false);
+            model.deliver(event == 0 ? 0 : 1, false);
         }
-        else if (what == 2)
+        else if (event == 2)
         {
-            world.read(holder, 1);
+            model.read(holder, 1);
         }
-        else if (what == 3)
+        else if (event == 3)
         {
-            world.pass_time(100);
+            model.pass_time(100);
         }
         else
         {
-            auto const who = what == 4 ? holder : rival;
-            world.read(who, 3);
-            world.read_clock(who);
-            world.step(who);
+            auto const who = event == 4 ? holder : successor;
+            model.read(who, 3);
+            model.read_clock(who);
+            model.step(who);
         }
-        RC_ASSERT(world.holders() <= 1);
+        RC_ASSERT(model.holders() <= 1);
     }
 }
 
 RC_GTEST_PROP(lease_property, any_prefix_folds_the_same_on_every_reader, ())
 {
-    model      world(any_drifts());
-    auto const story = *happenings();
-    world.run_undisturbed();
-    for (auto const& what : story)
+    lease_model model(any_drifts());
+    auto const  events = *any_events();
+    model.run_without_faults();
+    for (auto const& event : events)
     {
-        happen(world, what);
+        apply_event(model, event);
     }
-    auto const prefix = *rc::gen::inRange<std::size_t>(0, world.log().size() + 1);
+    auto const prefix = *rc::gen::inRange<std::size_t>(0, model.log().size() + 1);
     ledger     whole;
     ledger     from_text;
     for (std::size_t index = 0; index < prefix; ++index)
     {
-        auto const& record = world.log()[index];
+        auto const& record = model.log()[index];
         whole.apply(index + 1, record);
         auto const read =
             leaf::try_handle_all([&] { return parse_record(format_record(record)); },
--- a/tests/unit/drain_fold_test.cpp
+++ b/tests/unit/drain_fold_test.cpp
@@ -46,9 +46,9 @@
 RC_GTEST_PROP(drain_fold, a_peers_list_and_the_log_agree,
               (std::vector<std::pair<bool, std::uint8_t>> const& changes))
 {
-    std::size_t const cut = changes.empty() ? 0 : changes.size() / 2;
-    drain_fold        whole;
-    drain_fold        helped;
+    std::size_t const peer_index = changes.empty() ? 0 : changes.size() / 2;
+    drain_fold        from_log;
+    drain_fold        with_peer_list;
     auto const        record = [&](std::size_t index)
     {
         auto const& [on, name] = changes[index];
@@ -57,17 +57,17 @@
     };
     for (std::size_t index = 0; index < changes.size(); ++index)
     {
-        whole.apply(index + 1, record(index));
-        if (index == cut)
+        from_log.apply(index + 1, record(index));
+        if (index == peer_index)
         {
-            helped.apply(to_message(whole.value()));
+            with_peer_list.apply(to_message(from_log.value()));
         }
     }
     for (std::size_t index = 0; index < changes.size(); ++index)
     {
-        helped.apply(index + 1, record(index));
+        with_peer_list.apply(index + 1, record(index));
     }
-    RC_ASSERT(helped.value() == whole.value());
+    RC_ASSERT(with_peer_list.value() == from_log.value());
 }
 
 } // namespace
