--- a/tests/property/duty_log_property_test.cpp
+++ b/tests/property/duty_log_property_test.cpp
@@ -1,6 +1,7 @@
-// The duty lease under lost, late and repeated appends, pauses and restarts.
+// Property tests of the duty lease under lost, late and repeated appends, pauses and
+// restarts; of usage sums and of the server list.
 //
-// Index: 1 a store and its VMs, 2 properties
+// Index: 1 simulated log and VMs, 2 properties
 #include "ledger/duty_log.hpp"
 #include "ledger/server_list.hpp"
 #include "ledger/usage_windows.hpp"
@@ -13,35 +14,35 @@
 namespace
 {
 
-// 1. A store and its VMs
+// 1. Simulated log and VMs
 
 constexpr millis lease{3000};
 constexpr millis margin{400};
 constexpr millis step{100};
 
-/// An append on its way: it takes effect at `due`, if the end is still where it was.
-struct flying_append
+/// An append in flight: it takes effect at `due` if the log still ends at `at`.
+struct pending_append
 {
     std::uint64_t          at = 0;
     duty_record            record;
     boot_clock::time_point due{};
     std::size_t            vm = 0;
-    bool                   answered = false; // its VM hears of the outcome
+    bool                   answered = false; // the VM receives the outcome
 };
 
 struct vm_state
 {
     duty_log               log;
     boot_clock::time_point paused_until{};
-    boot_clock::time_point next_look{};
-    bool                   waiting = false; // for the answer of an append
+    boot_clock::time_point next_poll{};
+    bool                   waiting = false; // for the outcome of an append
 };
 
-/// Moves a few VMs and a log in steps of 100 ms; each step's troubles are drawn.
-class duty_world
+/// Simulates a few VMs and a log in steps of 100 ms; the faults of each step are random.
+class duty_cluster
 {
 public:
-    explicit duty_world(std::size_t vms)
+    explicit duty_cluster(std::size_t vms)
     {
         for (std::size_t index = 0; index < vms; ++index)
         {
@@ -52,11 +53,11 @@
     void advance()
     {
         now_ += step;
-        land_appends();
+        deliver_appends();
         for (std::size_t index = 0; index < vms_.size(); ++index)
         {
-            trouble(index);
-            act(index);
+            inject_fault(index);
+            run_vm(index);
         }
         check();
     }
@@ -69,14 +70,14 @@
                         boot_clock::time_point{}};
     }
 
-    void trouble(std::size_t index)
+    void inject_fault(std::size_t index)
     {
-        auto const dice = *rc::gen::inRange(0, 200);
-        if (dice == 0)
+        auto const draw = *rc::gen::inRange(0, 200);
+        if (draw == 0)
         {
             vms_[index].paused_until = now_ + step * *rc::gen::inRange(1, 80);
         }
-        else if (dice == 1)
+        else if (draw == 1)
         {
             ++incarnations_;
             vms_[index] = {duty_log{"vm-" + std::to_string(index) + "/" +
@@ -86,14 +87,14 @@
         }
     }
 
-    void act(std::size_t index)
+    void run_vm(std::size_t index)
     {
         auto& vm = vms_[index];
-        if (now_ < vm.paused_until || now_ < vm.next_look || vm.waiting)
+        if (now_ < vm.paused_until || now_ < vm.next_poll || vm.waiting)
         {
             return;
         }
-        vm.next_look = now_ + millis{900};
+        vm.next_poll = now_ + millis{900};
         bool const reads = *rc::gen::inRange(0, 10) != 0;
         if (reads)
         {
@@ -109,14 +110,14 @@
 
     void send(std::size_t index, duty_kind kind)
     {
-        auto&         vm = vms_[index];
-        flying_append append{.at = vm.log.end(), .vm = index};
+        auto&          vm = vms_[index];
+        pending_append append{.at = vm.log.end(), .vm = index};
         append.record = {.kind = kind, .holder = self_of(index)};
         append.record.number = vm.log.begin_append(now_);
         append.due = now_ + step * *rc::gen::weightedElement<int>({{9, 0}, {1, 40}});
         append.answered = *rc::gen::inRange(0, 8) != 0;
         vm.waiting = append.answered;
-        flying_.push_back(append);
+        pending_.push_back(append);
     }
 
     std::string self_of(std::size_t index) const
@@ -124,9 +125,9 @@
         return vms_[index].log.self();
     }
 
-    void land_appends()
+    void deliver_appends()
     {
-        for (auto at = flying_.begin(); at != flying_.end();)
+        for (auto at = pending_.begin(); at != pending_.end();)
         {
             if (at->due > now_)
             {
@@ -148,7 +149,7 @@
                     vm.log.absorb(at->record, at->at, now_);
                 }
             }
-            at = flying_.erase(at);
+            at = pending_.erase(at);
         }
     }
 
@@ -160,7 +161,8 @@
         }
     }
 
-    /// What a VM would do if it looked at its lease now.
+    /// Checks that at most one running VM considers itself the holder now, and that
+    /// epochs don't decrease.
     void check()
     {
         std::size_t holders = 0;
@@ -169,33 +171,33 @@
             if (now_ >= vm.paused_until && vm.log.held_until(now_))
             {
                 ++holders;
-                RC_ASSERT(vm.log.epoch() >= highest_);
-                highest_ = vm.log.epoch();
+                RC_ASSERT(vm.log.epoch() >= highest_epoch_);
+                highest_epoch_ = vm.log.epoch();
             }
         }
         RC_ASSERT(holders <= 1U);
     }
 
-    boot_clock::time_point     now_{std::chrono::hours{1}};
-    std::vector<vm_state>      vms_;
-    std::vector<duty_record>   records_;
-    std::vector<flying_append> flying_;
-    std::uint64_t              highest_ = 0;
-    int                        incarnations_ = 0;
+    boot_clock::time_point      now_{std::chrono::hours{1}};
+    std::vector<vm_state>       vms_;
+    std::vector<duty_record>    records_;
+    std::vector<pending_append> pending_;
+    std::uint64_t               highest_epoch_ = 0;
+    int                         incarnations_ = 0;
 };
 
 // 2. Properties
 
 RC_GTEST_PROP(duty_log, never_two_holders_and_epochs_only_rise, ())
 {
-    duty_world world(3);
+    duty_cluster cluster(3);
     for (int count = 0; count < 250; ++count)
     {
-        world.advance();
+        cluster.advance();
     }
 }
 
-RC_GTEST_PROP(duty_log, records_come_back_from_their_form,
+RC_GTEST_PROP(duty_log, formatted_records_parse_back,
               (std::string const& holder, std::uint64_t number, std::int64_t window))
 {
     std::string name;
@@ -231,7 +233,7 @@
     static_cast<void>(parse_usage_record(text));
 }
 
-// Two VMs that seal the same window race: the first record decides for all readers.
+// Two VMs seal the same window: the first record must decide for all readers.
 TEST(duty_log, first_seal_of_a_window_stands)
 {
     duty_log               log("a", {lease, margin}, {});
@@ -243,14 +245,14 @@
     EXPECT_EQ(log.sealed().at(4).at("w"), 1);
 }
 
-// A window was reported while an earlier one still waited for counts. Then the holder
-// dies and its seal is lost from the history: a successor that seals the window anew
-// would report it with another figure. The newest renewal tells that it is done.
+// A window is reported while an earlier one still waits for counts. Then the holder fails
+// and the seal is truncated from the log. A successor that sealed the window again would
+// report different counts; the newest renewal shows it that the window is reported.
 TEST(duty_log, later_windows_that_are_reported_are_known_without_their_seals)
 {
     duty_log               log("b", {lease, margin}, {});
     boot_clock::time_point now{std::chrono::seconds{9}};
-    log.skip(6, now); // the seal of window 7 among them
+    log.skip(6, now); // includes the seal of window 7
     log.absorb({.kind = duty_kind::renew, .holder = "a", .window = 5, .later = {7}}, 7,
                now);
     EXPECT_TRUE(log.reported(5));
@@ -301,25 +303,27 @@
     RC_ASSERT(billed == calls);
 }
 
-// Records, digests and what others append for a VM tell the same counts in any order,
-// some of them older than others. Added up, callers would be billed twice.
-RC_GTEST_PROP(usage_sum, figures_of_a_vm_count_once_however_they_come, ())
+// A VM's counts arrive in its records, in digests and in records that others append for
+// it, in any order and partly outdated. If they were added up, callers would be billed
+// twice.
+RC_GTEST_PROP(usage_sum, counts_of_a_vm_are_summed_once_whatever_their_origin, ())
 {
     usage_counter             counter("vm", {}, millis{1000});
-    std::vector<usage_record> told;
+    std::vector<usage_record> published;
     auto const                calls = *rc::gen::inRange(1, 20);
     for (int call = 0; call < calls; ++call)
     {
         counter.add("w", 1000 + call);
         for (auto& record : counter.recent(1))
         {
-            told.push_back(record);
+            published.push_back(record);
         }
     }
     usage_sum sum;
     for (int turn = 0; turn < 30; ++turn)
     {
-        auto const& record = told[*rc::gen::inRange<std::size_t>(0, told.size())];
+        auto const& record =
+            published[*rc::gen::inRange<std::size_t>(0, published.size())];
         if (*rc::gen::arbitrary<bool>())
         {
             sum.hear(record);
@@ -329,7 +333,7 @@
             sum.absorb(record);
         }
     }
-    sum.hear(told.back());
+    sum.hear(published.back());
     RC_ASSERT(sum.of(1).at("w") == calls);
     for (auto const& record : sum.missing_before(2))
     {
@@ -337,11 +341,11 @@
     }
     RC_ASSERT(sum.of(1).at("w") == calls);
     RC_ASSERT(sum.missing_before(2).empty());
-    RC_ASSERT(sum.holds(told.back()));
+    RC_ASSERT(sum.holds(published.back()));
 }
 
-// A VM is killed with an open window and starts again. It is never heard of as the old
-// incarnation, and its window must not wait for that.
+// A VM is killed in an open window and restarts. Its old incarnation sends nothing more,
+// so the window must not wait for it.
 TEST(usage_sum, window_is_complete_once_a_vm_has_started_again)
 {
     usage_sum sum;
@@ -357,8 +361,9 @@
     EXPECT_EQ(sum.of(2).at("w"), 7);
 }
 
-// A VM that can't reach the store has told of a later window: the ones before are closed.
-TEST(usage_sum, window_is_complete_once_a_later_one_is_heard_of)
+// A VM that can't reach the store sends counts of a later window in a digest, which
+// closes the windows before.
+TEST(usage_sum, window_is_complete_once_counts_of_a_later_one_arrive)
 {
     usage_sum sum;
     sum.absorb({"a/100", 1, {}, {}});
@@ -397,10 +402,11 @@
     }
 }
 
-// A VM gets its way to the store back, and a moment later a server that never says that
-// it leaves removes its entry. Held as a lapsed entry until the next read of the list, it
-// got new work 2.2 s after its removal, when it may be gone.
-TEST(server_list, removal_after_an_outage_is_not_held_like_a_lapse)
+// A VM reaches the store again, and soon afterwards a server removes its entry without
+// announcing that it leaves. When such an entry was held like an expired one until the
+// next read of the list, the server got new work 2.2 s after its removal, when it may
+// have stopped.
+TEST(server_list, removal_after_an_outage_is_not_held_like_an_expiry)
 {
     auto const in_use = [](server_list const& list, boot_clock::time_point at)
     {
--- a/tests/property/folds_property_test.cpp
+++ b/tests/property/folds_property_test.cpp
@@ -1,8 +1,8 @@
-// Folds of configuration, keys and usage: whatever the order, repetition and lateness of
-// records, there is one chain of revisions, one figure a window, each delta counts once,
-// and a snapshot stands for all that came before it.
+// Property tests of the folds of configuration, keys and usage. Whatever the order,
+// repetition and delay of records: there is one chain of revisions and one set of totals
+// per window, each delta counts once, and a snapshot replaces all records before it.
 //
-// Index: 1 log from raw numbers, 2 ledger, 3 store beside peers, 4 bounds
+// Index: 1 random logs, 2 ledger, 3 store with peers, 4 bounds
 #include "adapters/logging.hpp"
 #include "app/ledger_store.hpp"
 #include "app/usage_custody.hpp"
@@ -19,13 +19,14 @@
 namespace
 {
 
-// 1. Log from raw numbers
+// 1. Random logs
 
-/// Reads choices out of one raw number, so that a failing log shrinks to a short one.
-class choices
+/// Derives random choices from one raw number, so that a failing log shrinks to a short
+/// one.
+class random_choices
 {
 public:
-    explicit choices(std::uint64_t raw) : raw_(raw) {}
+    explicit random_choices(std::uint64_t raw) : raw_(raw) {}
 
     std::uint64_t below(std::uint64_t bound)
     {
@@ -38,12 +39,13 @@
     std::uint64_t raw_;
 };
 
-using log_text = std::vector<wire::log_record>; // record i stands at offset i + 1
+using log_records = std::vector<wire::log_record>; // record i has offset i + 1
 
-wire::config_change change_of(choices& from, ledger const& now, std::size_t step)
+wire::config_change change_of(random_choices& from, ledger const& now, std::size_t step)
 {
     wire::config_change change;
-    // One time in four an id of before: a repeat, or an append that took effect late.
+    // One change in four reuses an earlier id: a repeat, or an append that took effect
+    // late.
     auto const id = from.below(4) == 0 ? from.below(step + 1) : step;
     change.set_change_id("change-" + std::to_string(id));
     change.set_base_revision(from.below(3) != 0 ? now.config().revision()
@@ -54,7 +56,7 @@
     return change;
 }
 
-wire::usage_batch batch_of(choices& from)
+wire::usage_batch batch_of(random_choices& from)
 {
     wire::usage_batch batch;
     batch.set_node("node-" + std::to_string(from.below(2)));
@@ -63,7 +65,8 @@
     auto const deltas = 1 + from.below(3);
     for (std::uint64_t index = 0; index < deltas; ++index)
     {
-        // A delta is the same whoever appends it: its figures follow from its number.
+        // A delta is the same whichever VM appends it, so its counts depend only on its
+        // number.
         auto const sequence = batch.sequence() + index;
         auto*      delta = batch.add_deltas();
         delta->set_workspace(sequence % 2 == 0 ? "north" : "south");
@@ -74,7 +77,7 @@
     return batch;
 }
 
-void fill_lease(wire::log_record& record, choices& from, ledger const& now)
+void fill_lease(wire::log_record& record, random_choices& from, ledger const& now)
 {
     auto const duty = from.below(4) != 0 ? "reporter" : "keeper";
     auto const state = now.leases().state(duty);
@@ -93,8 +96,8 @@
     record.mutable_claim()->set_after_offset(current ? state.last_offset : 0);
 }
 
-/// Calls are judged elsewhere; here they must survive a snapshot like all else.
-void fill_call(wire::log_record& record, choices& from)
+/// The fold of calls has tests of its own; here calls only have to survive a snapshot.
+void fill_call(wire::log_record& record, random_choices& from)
 {
     auto const key = "call-" + std::to_string(from.below(3));
     auto const request = "request-" + std::to_string(from.below(3));
@@ -117,7 +120,8 @@
 }
 
 template <class Body>
-void fill_reporter(Body& body, std::uint64_t window, choices& from, ledger const& now)
+void fill_reporter(Body& body, std::uint64_t window, random_choices& from,
+                   ledger const& now)
 {
     auto const state = now.leases().state("reporter");
     bool const deposed = from.below(4) == 0;
@@ -127,14 +131,14 @@
 }
 
 wire::log_record record_of(std::uint64_t raw, ledger const& now, std::size_t step,
-                           log_text const& before)
+                           log_records const& before)
 {
-    choices          from(raw);
+    random_choices   from(raw);
     wire::log_record record;
     auto const       kind = from.below(18);
     if (kind == 0 && !before.empty())
     {
-        return before[from.below(before.size())]; // a second effect of the same append
+        return before[from.below(before.size())]; // an append that takes effect twice
     }
     if (kind < 4)
     {
@@ -173,10 +177,10 @@
     return record;
 }
 
-log_text log_of(std::vector<std::uint64_t> const& raw)
+log_records log_of(std::vector<std::uint64_t> const& raw)
 {
-    log_text log;
-    ledger   now;
+    log_records log;
+    ledger      now;
     for (std::size_t step = 0; step < raw.size(); ++step)
     {
         log.push_back(record_of(raw[step], now, step, log));
@@ -185,7 +189,8 @@
     return log;
 }
 
-ledger folded(log_text const& log, std::size_t begin, std::size_t end, ledger value = {})
+ledger folded(log_records const& log, std::size_t begin, std::size_t end,
+              ledger value = {})
 {
     for (auto index = begin; index < end; ++index)
     {
@@ -194,7 +199,7 @@
     return value;
 }
 
-rc::Gen<log_text> any_log()
+rc::Gen<log_records> any_log()
 {
     return rc::gen::map(rc::gen::container<std::vector<std::uint64_t>>(
                             rc::gen::inRange<std::uint64_t>(0, 1ULL << 62U)),
@@ -203,12 +208,12 @@
 
 // 2. Ledger
 
-RC_GTEST_PROP(ledger_folds, snapshot_and_rest_equal_the_whole, ())
+RC_GTEST_PROP(ledger_folds, snapshot_and_later_records_equal_the_whole_log, ())
 {
     auto const log = *any_log();
-    auto const cut = *rc::gen::inRange<std::size_t>(0, log.size() + 1);
-    auto const prefix = folded(log, 0, cut);
-    // Through the text of the log, as a reader finds it.
+    auto const split = *rc::gen::inRange<std::size_t>(0, log.size() + 1);
+    auto const prefix = folded(log, 0, split);
+    // The snapshot passes through its stored text, as a reader of the log gets it.
     wire::log_record record;
     *record.mutable_ledger() = prefix.snapshot();
     auto const read =
@@ -216,7 +221,7 @@
                              [] { return wire::log_record{}; });
     auto const restored = ledger::restored(read.ledger());
     RC_ASSERT(restored == prefix);
-    RC_ASSERT(folded(log, cut, log.size(), restored) == folded(log, 0, log.size()));
+    RC_ASSERT(folded(log, split, log.size(), restored) == folded(log, 0, log.size()));
 }
 
 RC_GTEST_PROP(ledger_folds, one_chain_of_revisions, ())
@@ -256,7 +261,7 @@
         record.mutable_change()->set_change_id(id);
         record.mutable_change()->set_base_revision(before.config().revision());
         value.apply(value.next_offset(), record);
-        value.apply(value.next_offset(), record); // the append took effect twice
+        value.apply(value.next_offset(), record); // the append takes effect twice
     }
     for (auto const* id : {"left", "right"})
     {
@@ -265,18 +270,18 @@
     RC_ASSERT(accepted == 1U);
 }
 
-/// The figures of all windows, each as it stood when it was sealed, and the open one.
+/// Sum of the output tokens of a table.
 std::uint64_t output_of(usage_table const& table)
 {
     std::uint64_t sum = 0;
-    for (auto const& [key, figure] : table)
+    for (auto const& [key, totals] : table)
     {
-        sum += figure.output_tokens;
+        sum += totals.output_tokens;
     }
     return sum;
 }
 
-RC_GTEST_PROP(ledger_folds, each_delta_counts_once_and_each_window_has_one_figure, ())
+RC_GTEST_PROP(ledger_folds, each_delta_counts_once_and_each_window_has_one_table, ())
 {
     auto const                                                    log = *any_log();
     ledger                                                        value;
@@ -325,7 +330,7 @@
     }
 }
 
-// 3. Store beside peers
+// 3. Store with peers
 
 wire::config_snapshot snapshot_of(accepted_rules const& rules)
 {
@@ -334,9 +339,10 @@
     return message;
 }
 
-/// Peers run ahead of this node's log, behind it, or lie; the node's ledger never
-/// differs from the log's, what is in force never steps back, and in the end all agree.
-RC_GTEST_PROP(ledger_store, peers_never_move_the_ledger_nor_set_it_back, ())
+/// Peers offer configurations that are ahead of this VM's log or behind it. The VM's
+/// ledger must never differ from its log, the revision in force must never decrease, and
+/// in the end it must be that of the whole log.
+RC_GTEST_PROP(ledger_store, peers_never_change_the_ledger_nor_lower_the_revision, ())
 {
     auto const    log = *any_log();
     ledger_store  store([] {});
@@ -359,9 +365,9 @@
     RC_ASSERT(store.rules_in_force() == whole.config().current());
 }
 
-RC_GTEST_PROP(ledger_store, a_peer_that_lies_is_overruled_by_the_log, ())
+RC_GTEST_PROP(ledger_store, a_false_peer_configuration_is_overruled_by_the_log, ())
 {
-    start_logging("error"); // a warning a lie
+    start_logging("error"); // each false configuration would log a warning
     auto const   log = *any_log();
     auto const   at = *rc::gen::inRange<std::size_t>(0, log.size() + 1);
     auto const   claimed = *rc::gen::inRange<std::uint64_t>(1, log.size() + 2);
@@ -423,13 +429,13 @@
         mark.mutable_reported()->set_epoch(1);
         ASSERT_EQ(next(mark), record_effect::effective);
     }
-    EXPECT_EQ(value.config().history().size(), configuration_fold::remembered_changes);
-    EXPECT_EQ(value.usage().incarnations(), usage_fold::kept_incarnations);
-    EXPECT_EQ(value.usage().sealed().size(), usage_fold::kept_windows);
+    EXPECT_EQ(value.config().history().size(), configuration_fold::max_changes);
+    EXPECT_EQ(value.usage().incarnations(), usage_fold::max_incarnations);
+    EXPECT_EQ(value.usage().sealed().size(), usage_fold::max_reported_windows);
     EXPECT_EQ(value.usage().last_sealed(), rounds);
 }
 
-RC_GTEST_PROP(usage_custody, overdue_batches_hold_each_kept_delta_once, ())
+RC_GTEST_PROP(usage_custody, overdue_batches_hold_each_stored_delta_once, ())
 {
     auto const sequences = *rc::gen::container<std::set<std::uint64_t>>(
         rc::gen::inRange<std::uint64_t>(1, 600));
--- a/tests/unit/drain_fold_test.cpp
+++ b/tests/unit/drain_fold_test.cpp
@@ -1,4 +1,4 @@
-// The fold of operators' drains.
+// Tests of the fold of operators' drain orders.
 #include "ledger/drain_fold.hpp"
 
 #include "wire.pb.h"
@@ -41,14 +41,14 @@
     EXPECT_EQ(fold, drain_fold{});
 }
 
-// A node that took the list from a peer and then reads the log from the start must hold
-// the same as one that read the log alone: an old record must not undo a newer one.
+// A VM applies a peer's list and then reads the log from the start. The old records must
+// not undo newer ones: the result is the same as from the log alone.
 RC_GTEST_PROP(drain_fold, a_peers_list_and_the_log_agree,
               (std::vector<std::pair<bool, std::uint8_t>> const& changes))
 {
-    std::size_t const cut = changes.empty() ? 0 : changes.size() / 2;
-    drain_fold        whole;
-    drain_fold        helped;
+    std::size_t const peer_index = changes.empty() ? 0 : changes.size() / 2;
+    drain_fold        from_log;
+    drain_fold        with_peer_list;
     auto const        record = [&](std::size_t index)
     {
         auto const& [on, name] = changes[index];
@@ -57,17 +57,17 @@
     };
     for (std::size_t index = 0; index < changes.size(); ++index)
     {
-        whole.apply(index + 1, record(index));
-        if (index == cut)
+        from_log.apply(index + 1, record(index));
+        if (index == peer_index)
         {
-            helped.apply(to_message(whole.value()));
+            with_peer_list.apply(to_message(from_log.value()));
         }
     }
     for (std::size_t index = 0; index < changes.size(); ++index)
     {
-        helped.apply(index + 1, record(index));
+        with_peer_list.apply(index + 1, record(index));
     }
-    RC_ASSERT(helped.value() == whole.value());
+    RC_ASSERT(with_peer_list.value() == from_log.value());
 }
 
 } // namespace
