--- a/src/adapters/http_backend.cpp
+++ b/src/adapters/http_backend.cpp
@@ -71,7 +71,7 @@
         return transport_fault::silent;
     }
     auto const fault = fault_of(error);
-    return fault == transport_fault::silent ? transport_fault::answer_lost : fault;
+    return fault == transport_fault::silent ? transport_fault::response_lost : fault;
 }
 
 /// A kept-alive connection may have gone silent for good while new ones work, and then
@@ -172,8 +172,8 @@
 
 // 3. Service calls
 
-leaf::result<service_answer> http_backend::call(backend_server const& server,
-                                                service_call const&   service)
+leaf::result<service_response> http_backend::call(backend_server const& server,
+                                                  service_call const&   service)
 {
     // A kept-alive connection may have been closed by the service meanwhile, and a
     // failure on it could not be told from a lost answer. A new connection keeps "not
@@ -199,8 +199,8 @@
     {
         return transport_error(answer.error(), server.id);
     }
-    return service_answer{answer->status, answer->get_header_value("Content-Type"),
-                          answer->body};
+    return service_response{answer->status, answer->get_header_value("Content-Type"),
+                            answer->body};
 }
 
 // 4. Cancel and load
--- a/src/adapters/http_backend.hpp
+++ b/src/adapters/http_backend.hpp
@@ -22,8 +22,8 @@
 
     leaf::result<void> stream(backend_server const& server, engine_call const& call,
                               event_sink const& sink);
-    leaf::result<service_answer> call(backend_server const& server,
-                                      service_call const&   service);
+    leaf::result<service_response> call(backend_server const& server,
+                                        service_call const&   service);
     void cancel(backend_server const& server, std::string const& request_id,
                 std::uint64_t attempt);
     leaf::result<load_report> load(backend_server const& server);
--- a/src/adapters/http_exchange.cpp
+++ b/src/adapters/http_exchange.cpp
@@ -15,7 +15,7 @@
     case httplib::Error::Read:
         return transport_fault::silent;
     default:
-        return transport_fault::answer_lost;
+        return transport_fault::response_lost;
     }
 }
 
--- a/src/adapters/order_socket.cpp
+++ b/src/adapters/order_socket.cpp
@@ -164,7 +164,7 @@
 }
 
 /// The answer, once it is whole: status line, Content-Length, body.
-std::optional<order_answer> parse_answer(std::string const& text)
+std::optional<order_response> parse_answer(std::string const& text)
 {
     constexpr std::size_t status_at = 9; // after "HTTP/1.1 "
     std::string const     length_name = "content-length: ";
@@ -181,11 +181,11 @@
     {
         return std::nullopt;
     }
-    return order_answer{number_at<int>(text, status_at), body};
+    return order_response{number_at<int>(text, status_at), body};
 }
 
-leaf::result<order_answer> read_answer(int socket, std::string const& peer,
-                                       boot_clock::time_point end)
+leaf::result<order_response> read_answer(int socket, std::string const& peer,
+                                         boot_clock::time_point end)
 {
     std::string             text;
     std::array<char, 4'096> buffer{};
@@ -199,7 +199,7 @@
         if (count <= 0)
         {
             return leaf::new_error(
-                transport_failure{transport_fault::answer_lost, peer, 0});
+                transport_failure{transport_fault::response_lost, peer, 0});
         }
         text.append(buffer.data(), static_cast<std::size_t>(count));
         if (auto answer = parse_answer(text))
@@ -232,8 +232,8 @@
            message.body;
 }
 
-leaf::result<order_answer> order_socket::send(order_message const&   message,
-                                              boot_clock::time_point valid_until) const
+leaf::result<order_response> order_socket::send(order_message const&   message,
+                                                boot_clock::time_point valid_until) const
 {
     auto const          peer = message.host + ":" + std::to_string(message.port);
     auto const          text = request_text(message);
@@ -259,7 +259,8 @@
     }
     if (sent != static_cast<ssize_t>(text.size()))
     {
-        return leaf::new_error(transport_failure{transport_fault::answer_lost, peer, 0});
+        return leaf::new_error(
+            transport_failure{transport_fault::response_lost, peer, 0});
     }
     auto answer = read_answer(socket.fd(), peer, end);
     if (answer)
--- a/src/adapters/order_socket.hpp
+++ b/src/adapters/order_socket.hpp
@@ -39,8 +39,8 @@
         millis timeout, std::string sender, checkpoint before_send = [] {},
         std::size_t largest = one_segment);
 
-    leaf::result<order_answer> send(order_message const&   message,
-                                    boot_clock::time_point valid_until) const;
+    leaf::result<order_response> send(order_message const&   message,
+                                      boot_clock::time_point valid_until) const;
 
 private:
     std::string request_text(order_message const& message) const;
--- a/src/app/model_run.hpp
+++ b/src/app/model_run.hpp
@@ -323,7 +323,7 @@
             [&]
             {
                 return std::optional<transport_failure>{
-                    {transport_fault::answer_lost, server.id, 0}};
+                    {transport_fault::response_lost, server.id, 0}};
             });
     }
 
@@ -389,7 +389,7 @@
     void settle_broken(backend_server const& server, engine_call const& call,
                        std::optional<transport_failure> const& failure)
     {
-        bool const broken = failure && failure->fault == transport_fault::answer_lost;
+        bool const broken = failure && failure->fault == transport_fault::response_lost;
         if (broken && crashed(server))
         {
             parts_.counters.add("suspects_total");
--- a/src/app/service_path.hpp
+++ b/src/app/service_path.hpp
@@ -23,9 +23,9 @@
 /// An answer, and whether it is that of an earlier try under the same key.
 struct service_reply
 {
-    service_answer answer;
-    bool           earlier = false;
-    bool           body_left_out = false; // of an earlier try: too large to be kept
+    service_response answer;
+    bool             earlier = false;
+    bool             body_left_out = false; // of an earlier try: too large to be kept
 
     bool operator==(service_reply const&) const = default;
 };
@@ -76,8 +76,8 @@
     /// How the attempts of a call ended.
     struct run_end
     {
-        std::optional<service_answer> answer;
-        refusal                       refused; // without an answer
+        std::optional<service_response> answer;
+        refusal                         refused; // without an answer
     };
 
     // 4. At most once
@@ -223,9 +223,9 @@
     }
 
     /// Sends the call once and moves the state on.
-    std::optional<service_answer> dispatch(backend_server const&  server,
-                                           service_request const& request,
-                                           request_state&         state)
+    std::optional<service_response> dispatch(backend_server const&  server,
+                                             service_request const& request,
+                                             request_state&         state)
     {
         span_scope span(parts_.spans, request.trace, request.request_id, "dispatch");
         span.note("server.address", server.id);
@@ -234,8 +234,8 @@
                                 request.body,       format_traceparent(span.context()),
                                 request.deadline};
         parts_.directory.begin(server, 0);
-        std::optional<service_answer> answer;
-        auto const                    step = leaf::try_handle_all(
+        std::optional<service_response> answer;
+        auto const                      step = leaf::try_handle_all(
             [&]() -> leaf::result<request_step>
             {
                 BOOST_LEAF_ASSIGN(answer, parts_.backend.call(server, call));
@@ -244,8 +244,8 @@
             [](transport_failure const& failure)
             {
                 return failure.fault == transport_fault::not_connected
-                                              ? request_step::nothing_sent
-                                              : request_step::attempt_lost;
+                                                ? request_step::nothing_sent
+                                                : request_step::attempt_lost;
             },
             [] { return request_step::attempt_lost; });
         state = state.after(step);
--- a/src/domain/caller_call.hpp
+++ b/src/domain/caller_call.hpp
@@ -27,13 +27,14 @@
 /// forwarded unchanged.
 struct caller_call
 {
-    std::string              id;       // request id; unique for each try of the caller
-    std::string              host;     // lower case, without port
-    std::string              target;   // path and query as received
-    std::string              key;      // API key; empty: none was sent
-    std::optional<millis>    patience; // how long the caller waits, ms; none: not stated
-    std::vector<prompt_part> prompt;   // in order; only this call has the last part
-    std::int64_t             output_tokens = 0; // max. tokens to generate
+    std::string id;     // request id; unique for each try of the caller
+    std::string host;   // lower case, without port
+    std::string target; // path and query as received
+    std::string key;    // API key; empty: none was sent
+    std::optional<millis>
+        caller_timeout;                 // how long the caller waits, ms; none: not stated
+    std::vector<prompt_part>    prompt; // in order; only this call has the last part
+    std::int64_t                output_tokens = 0; // max. tokens to generate
     std::optional<std::int64_t> stated_tokens; // prompt and max. output; none: not stated
     std::string resume_after; // last event id that the caller has; empty: none
 
@@ -47,7 +48,7 @@
 
     /// Id of the part before the last, which ends the longest prefix that other calls may
     /// share; empty if the prompt has fewer than two parts.
-    std::string_view shared_part() const
+    std::string_view shared_prefix_id() const
     {
         return prompt.size() < 2 ? std::string_view{} : prompt[prompt.size() - 2].id;
     }
@@ -64,7 +65,7 @@
     }
 
     /// Length of the last part in tokens: no other call can have left it in a cache.
-    std::int64_t own_tokens() const
+    std::int64_t unshared_tokens() const
     {
         return prompt.empty() ? 0 : prompt.back().tokens;
     }
--- a/src/domain/entry_settings.hpp
+++ b/src/domain/entry_settings.hpp
@@ -72,14 +72,16 @@
     // [policy]
     bool directory = true; // true  calls go to engines with cached parts of their prompt
     bool fetch = true;     // true  engines fetch cached prompt parts from each other
-    bool beside = true;    // true  decoding engines prefill while streams tolerate it
+    bool colocated = true; // true  decoding engines prefill while streams tolerate it
     bool handover = true;  // true  prompts may be prefilled elsewhere and handed off
     bool home = true;      // true  calls that share uncached parts go to the same engine
-    bool learn = true;     // true  prefill times are learned from observed prefills
-    bool refuse = true;    // true  calls with far too long a predicted wait are refused
-    bool roles = true;     // true  the roles of engines follow the load
-    bool spread = true;    // true  VMs don't all choose the engine that was idlest
-    bool warn = true;      // true  VMs learn of lost servers from other VMs
+    bool learn_prefill_times =
+        true; // true  prefill times are learned from observed prefills
+    bool refuse_long_waits =
+        true; // true  calls with far too long a predicted wait are refused
+    bool change_roles = true;   // true  the roles of engines follow the load
+    bool spread_choices = true; // true  VMs don't all choose the engine that was idlest
+    bool share_server_losses = true; // true  VMs learn of lost servers from other VMs
     // [logs]
     std::int64_t log_lines_per_s = 400; // 400  max. lines/s; others are only counted
     std::int64_t log_sample = 8;        // 8  every n-th call has all its lines written
--- a/src/domain/failure.cpp
+++ b/src/domain/failure.cpp
@@ -60,7 +60,7 @@
         return "not_connected";
     case transport_fault::refused:
         return "refused";
-    case transport_fault::answer_lost:
+    case transport_fault::response_lost:
         return "answer_lost";
     case transport_fault::silent:
         return "silent";
--- a/src/domain/failure.hpp
+++ b/src/domain/failure.hpp
@@ -94,7 +94,7 @@
 {
     not_connected, // nothing was sent
     refused,       // the peer refused in its response
-    answer_lost,   // sent in whole or in part, but no complete response; effect unknown
+    response_lost, // sent in whole or in part, but no complete response; effect unknown
     silent         // no progress within the timeout
 };
 
--- a/src/domain/serving_rules.cpp
+++ b/src/domain/serving_rules.cpp
@@ -49,7 +49,7 @@
     return limits_;
 }
 
-workspace const* serving_rules::find_workspace_named(std::string_view name) const
+workspace const* serving_rules::find_workspace_by_name(std::string_view name) const
 {
     auto const found =
         std::find_if(workspaces_.begin(), workspaces_.end(),
@@ -57,12 +57,12 @@
     return found == workspaces_.end() ? nullptr : &*found;
 }
 
-std::vector<std::string> serving_rules::keep_quotas(serving_rules const& last)
+std::vector<std::string> serving_rules::carry_over_quotas(serving_rules const& last)
 {
     std::vector<std::string> adopted;
     for (auto& each : workspaces_)
     {
-        if (each.quota_readable)
+        if (each.quota_valid)
         {
             continue;
         }
@@ -96,7 +96,7 @@
     return found == services_.end() ? nullptr : &*found;
 }
 
-workspace const* serving_rules::find_workspace(std::string_view key) const
+workspace const* serving_rules::find_workspace_by_key(std::string_view key) const
 {
     auto const found = by_key_.find(key);
     return found == by_key_.end() ? nullptr : &workspaces_[found->second];
--- a/src/domain/serving_rules.hpp
+++ b/src/domain/serving_rules.hpp
@@ -72,7 +72,7 @@
     std::string  name;
     std::int64_t connections = 0;      // 0  max. connections per server; 0: not stated
     bool         has_engines = false;  //  its servers are model engines
-    millis       handle_life{0};       // 0  ms that an engine keeps a prefilled prompt
+    millis       handle_lifetime{0};   // 0  ms that an engine keeps a prefilled prompt
     std::optional<fleet_bounds> fleet; // none: its servers aren't ordered
 
     bool operator==(service const&) const = default;
@@ -84,7 +84,8 @@
     std::int64_t rate = 0;  // 0  units per second
     std::int64_t burst = 0; // 0  further units, saved up while less than the rate is used
     bool         tokens = false; // a unit is a token; otherwise a call
-    std::int64_t unstated = 1;   // 1  units charged for a call that states no token count
+    std::int64_t default_units =
+        1; // 1  units charged for a call that states no token count
 
     auto operator<=>(workspace_quota const&) const = default;
 };
@@ -96,7 +97,7 @@
     std::vector<std::string> keys;
     std::int64_t rank = -1; // -1  priority, overrides the route's; -1: the route's
     std::optional<workspace_quota> quota = std::nullopt; // none: no limit
-    bool quota_readable = true; // true  false: the rule's quota is invalid
+    bool quota_valid = true; // true  false: the rule's quota is invalid
 
     bool operator==(workspace const&) const = default;
 };
@@ -137,14 +138,14 @@
     service const* find_service(std::string_view name) const;
 
     /// The workspace that `key` belongs to; null if there is none.
-    workspace const* find_workspace(std::string_view key) const;
+    workspace const* find_workspace_by_key(std::string_view key) const;
 
     /// The workspace of this name; null if there is none.
-    workspace const* find_workspace_named(std::string_view name) const;
+    workspace const* find_workspace_by_name(std::string_view name) const;
 
     /// Replaces the quotas that are invalid in this version by those of `last`, and
     /// returns the names of their workspaces. Must be called before the rules are shared.
-    std::vector<std::string> keep_quotas(serving_rules const& last);
+    std::vector<std::string> carry_over_quotas(serving_rules const& last);
 
     std::vector<route> const&     routes() const noexcept;
     std::vector<service> const&   services() const noexcept;
--- a/src/domain/true_clock.hpp
+++ b/src/domain/step_filtered_clock.hpp
@@ -1,8 +1,8 @@
-// true_clock: Unix time without steps of the system clock, for usage windows.
+// step_filtered_clock: Unix time without steps of the system clock, for usage windows.
 //
-// Index: true_clock
-#ifndef MARIGOLDCRANK_DOMAIN_TRUE_CLOCK_HPP
-#define MARIGOLDCRANK_DOMAIN_TRUE_CLOCK_HPP
+// Index: step_filtered_clock
+#ifndef MARIGOLDCRANK_DOMAIN_STEP_FILTERED_CLOCK_HPP
+#define MARIGOLDCRANK_DOMAIN_STEP_FILTERED_CLOCK_HPP
 
 #include "domain/boot_clock.hpp"
 
@@ -16,7 +16,7 @@
 /// windows must begin and end alike on all VMs: if the clock of a VM jumped by seconds
 /// and back, calls counted in between would fall into the wrong window, and the bills of
 /// two windows would be wrong. The class reads no clock itself.
-class true_clock
+class step_filtered_clock
 {
 public:
     /// Takes the present readings of both clocks and returns the estimate, Unix time in
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -123,8 +123,8 @@
                   engine_costs const& engines, std::string const& data_centre,
                   std::uint64_t tie_break, placement_options const& options)
         : costs_(engines), data_centre_(data_centre), tie_break_(tie_break),
-          options_(options), own_tokens_(call.own_tokens()),
-          shared_tokens_(call.prompt_tokens() - call.own_tokens())
+          options_(options), own_tokens_(call.unshared_tokens()),
+          shared_tokens_(call.prompt_tokens() - call.unshared_tokens())
     {
         for (auto const& each : candidates)
         {
@@ -139,10 +139,12 @@
                 best_cache_ = &each;
             }
         }
-        if (!cached_anywhere_ && !call.shared_part().empty())
+        if (!cached_anywhere_ && !call.shared_prefix_id().empty())
         {
-            prefill_rendezvous_ = rendezvous_engine(candidates, call.shared_part(), true);
-            decode_rendezvous_ = rendezvous_engine(candidates, call.shared_part(), false);
+            prefill_rendezvous_ =
+                rendezvous_engine(candidates, call.shared_prefix_id(), true);
+            decode_rendezvous_ =
+                rendezvous_engine(candidates, call.shared_prefix_id(), false);
         }
     }
 
@@ -309,7 +311,7 @@
         return std::nullopt;
     }
     bool const use_handoff =
-        options.handover && call.own_tokens() >= options.min_handoff_tokens &&
+        options.handover && call.unshared_tokens() >= options.min_handoff_tokens &&
         handed_off.cost + costs.handoff_ms + options.handoff_cost_ms < colocated.cost;
     return plan_of(colocated.chosen == nullptr || use_handoff ? *handed_off.chosen
                                                               : *colocated.chosen);
--- a/src/policy/role_split.cpp
+++ b/src/policy/role_split.cpp
@@ -23,7 +23,7 @@
     auto const load = [&](std::int64_t count)
     {
         auto const decode_engines = static_cast<double>(engines - count);
-        if (need.beside)
+        if (need.colocated)
         {
             // A decode engine prefills at half the speed of a prefill engine.
             return (need.prefill + need.decode / 2) /
@@ -39,7 +39,7 @@
         best = load(count) < load(best) ? count : best;
     }
     bool const busy =
-        load(prefill) > (need.beside ? options.busy_colocated : options.busy);
+        load(prefill) > (need.colocated ? options.busy_colocated : options.busy);
     bool const helps = load(best) < options.gain * load(prefill);
     return busy && helps ? best : prefill;
 }
--- a/src/policy/role_split.hpp
+++ b/src/policy/role_split.hpp
@@ -59,7 +59,7 @@
 {
     double prefill = 0;
     double decode = 0;
-    bool   beside = false; // colocated prefill: decode engines may also prefill
+    bool   colocated = false; // colocated prefill: decode engines may also prefill
 
     bool operator==(role_need const&) const = default;
 };
--- a/src/policy/work_meter.hpp
+++ b/src/policy/work_meter.hpp
@@ -87,7 +87,7 @@
 
     /// Prefill at decode engines. In both models the wait in a queue that no VM knows of
     /// adds to the fixed time, so that calls move to the role with free capacity.
-    prefill_model const& beside() const noexcept
+    prefill_model const& colocated() const noexcept
     {
         return colocated_;
     }
--- a/src/ports/backend_port.hpp
+++ b/src/ports/backend_port.hpp
@@ -1,7 +1,8 @@
 // backend_port: the calls to engines and services that the application makes, as a
 // concept.
 //
-// Index: 1 stream_event, 2 engine_call, 3 service_call, service_answer, 4 event_verdict,
+// Index: 1 stream_event, 2 engine_call, 3 service_call, service_response, 4
+// event_verdict,
 //        5 backend_port
 #ifndef MARIGOLDCRANK_PORTS_BACKEND_PORT_HPP
 #define MARIGOLDCRANK_PORTS_BACKEND_PORT_HPP
@@ -59,13 +60,13 @@
 };
 
 /// The HTTP response of a plain service.
-struct service_answer
+struct service_response
 {
     int         status = 0; // HTTP status
     std::string content_type;
     std::string body;
 
-    bool operator==(service_answer const&) const = default;
+    bool operator==(service_response const&) const = default;
 };
 
 /// What an event means for the progress of the attempt.
@@ -87,8 +88,8 @@
                                 event_sink const& sink)
 {
     /// Streams an attempt. Fails with transport_failure: not_connected means that the
-    /// engine received nothing, answer_lost that the connection broke, silent that there
-    /// was no progress in time or that the deadline passed.
+    /// engine received nothing, response_lost that the connection broke, silent that
+    /// there was no progress in time or that the deadline passed.
     {
         backend.stream(server, call, sink)
         } -> std::same_as<leaf::result<void>>;
@@ -96,7 +97,7 @@
     /// service received nothing.
     {
         backend.call(server, service)
-        } -> std::same_as<leaf::result<service_answer>>;
+        } -> std::same_as<leaf::result<service_response>>;
     /// Stops an attempt at the engine, which then sends its closing event. If a cancel is
     /// lost, the engine only spends time in vain.
     {
--- a/src/ports/duty_port.hpp
+++ b/src/ports/duty_port.hpp
@@ -31,8 +31,8 @@
 enum class duty_outcome
 {
     accepted,
-    refused,  // refused for now; may be sent again
-    no_answer // may have been accepted; only an identical request may follow
+    refused,    // refused for now; may be sent again
+    no_response // may have been accepted; only an identical request may follow
 };
 
 /// An order for a number of servers of one service in one data centre.
--- a/src/ports/log_store_port.hpp
+++ b/src/ports/log_store_port.hpp
@@ -61,7 +61,7 @@
 {
     unreachable, // no connection, or not in time: nothing was done
     refused,     // the store refused: nothing was done
-    no_answer,   // sent, but no complete response: may be done now or later
+    no_response, // sent, but no complete response: may be done now or later
     malformed,   // the response can't be parsed
     moved,       // the topic's end differs from the append's condition: nothing was done
     trimmed      // the requested records are no longer stored
--- a/src/ports/order_port.hpp
+++ b/src/ports/order_port.hpp
@@ -1,6 +1,6 @@
 // order_port, engine_state_port: sending orders and reading engines' states, as concepts.
 //
-// Index: 1 order_message, 2 order_answer, 3 order_port, 4 engine_state_port
+// Index: 1 order_message, 2 order_response, 3 order_port, 4 engine_state_port
 #ifndef MARIGOLDCRANK_PORTS_ORDER_PORT_HPP
 #define MARIGOLDCRANK_PORTS_ORDER_PORT_HPP
 
@@ -27,12 +27,12 @@
 };
 
 /// The HTTP response to an order.
-struct order_answer
+struct order_response
 {
     int         status = 0; // HTTP status
     std::string body;
 
-    bool operator==(order_answer const&) const = default;
+    bool operator==(order_response const&) const = default;
 };
 
 /// Sends one order under a lease. Neither the process nor its kernel sends a byte of it
@@ -44,7 +44,7 @@
 {
     {
         orders.send(message, valid_until)
-        } -> std::same_as<leaf::result<order_answer>>;
+        } -> std::same_as<leaf::result<order_response>>;
 };
 
 /// Reads the state that an engine reports. Fails with transport_failure or
--- a/src/serving/call_admission.cpp
+++ b/src/serving/call_admission.cpp
@@ -22,7 +22,7 @@
                                       admitted_call& admitted)
 {
     admitted.caller_workspace =
-        call.key.empty() ? nullptr : admitted.rules->find_workspace(call.key);
+        call.key.empty() ? nullptr : admitted.rules->find_workspace_by_key(call.key);
     if (!admitted.rules->keyed() || admitted.matched->open)
     {
         return std::nullopt;
@@ -40,12 +40,12 @@
 
 loop_time deadline_of(caller_call const& call, route const& matched)
 {
-    auto patience = call.patience.value_or(default_timeout);
+    auto caller_timeout = call.caller_timeout.value_or(default_timeout);
     if (matched.timeout.count() > 0)
     {
-        patience = std::min(patience, matched.timeout);
+        caller_timeout = std::min(caller_timeout, matched.timeout);
     }
-    return loop_clock::now() + patience;
+    return loop_clock::now() + caller_timeout;
 }
 
 } // namespace
--- a/src/serving/entry_state.hpp
+++ b/src/serving/entry_state.hpp
@@ -11,7 +11,7 @@
 #include "adapters/metrics.hpp"
 #include "domain/entry_settings.hpp"
 #include "domain/serving_rules.hpp"
-#include "domain/true_clock.hpp"
+#include "domain/step_filtered_clock.hpp"
 #include "ledger/server_list.hpp"
 #include "ledger/usage_windows.hpp"
 #include "policy/crash_watch.hpp"
@@ -120,7 +120,7 @@
     prefix_directory                   prefixes;
     event_log                          log;
     metrics                            counters;
-    true_clock                         day;
+    step_filtered_clock                day;
     crash_watch                        crashes;
     std::map<std::string, boot_clock::time_point>
                  last_heard; // by the address where a VM answers
--- a/src/serving/fleet_orders.hpp
+++ b/src/serving/fleet_orders.hpp
@@ -171,7 +171,7 @@
                                  .add("epoch", static_cast<std::int64_t>(sender->epoch))
                                  .add("outcome", static_cast<std::int64_t>(outcome)),
                              now);
-            platform_silent_ = platform_silent_ || outcome == duty_outcome::no_answer;
+            platform_silent_ = platform_silent_ || outcome == duty_outcome::no_response;
         }
     }
 
@@ -184,7 +184,7 @@
         }
         for (auto const& value : rules->services())
         {
-            if (value.has_engines && state_.settings.roles)
+            if (value.has_engines && state_.settings.change_roles)
             {
                 plan_roles_of(value);
             }
@@ -223,7 +223,8 @@
         auto const demand = state_.demand(value.name, boot_clock::now());
         auto       need = marigoldcrank::compute_role_need(
                   demand, engines.front().server->slots, role_split_options{});
-        need.beside = state_.pauses[value.name].tolerates_prefill(state_.settings.beside);
+        need.colocated =
+            state_.pauses[value.name].tolerates_prefill(state_.settings.colocated);
         return need;
     }
 
@@ -265,7 +266,7 @@
                                  .add("epoch", static_cast<std::int64_t>(sender->epoch))
                                  .add("outcome", static_cast<std::int64_t>(outcome)),
                              boot_clock::now());
-            platform_silent_ = platform_silent_ || outcome == duty_outcome::no_answer;
+            platform_silent_ = platform_silent_ || outcome == duty_outcome::no_response;
         }
     }
 
--- a/src/serving/model_placement.cpp
+++ b/src/serving/model_placement.cpp
@@ -43,9 +43,10 @@
 void model_placement::count_demand(boot_clock::time_point arrived)
 {
     // Short prompts are always prefilled colocated.
-    if (needs_prefill() && call_.own_tokens() >= placement_options{}.min_handoff_tokens)
+    if (needs_prefill() &&
+        call_.unshared_tokens() >= placement_options{}.min_handoff_tokens)
     {
-        meter().prompt(call_.own_tokens(), arrived);
+        meter().prompt(call_.unshared_tokens(), arrived);
     }
 }
 
@@ -78,7 +79,7 @@
 
 std::optional<millis> model_placement::queue_retry_after(placement const& placed) const
 {
-    if (!needs_prefill() || !state_.settings.refuse)
+    if (!needs_prefill() || !state_.settings.refuse_long_waits)
     {
         return std::nullopt;
     }
@@ -113,18 +114,19 @@
 engine_costs model_placement::costs() const
 {
     auto const& prefills = meter().reads();
-    auto const& beside = meter().beside();
+    auto const& colocated = meter().colocated();
     auto const& pauses = state_.pauses[admitted_.service_name];
-    return {.prefill_rate = prefills.speed(),
-            .colocated_rate = beside.speed(),
-            .colocated_fixed_ms = beside.fixed_ms(),
-            .prefill_fixed_ms = prefills.fixed_ms(),
-            .handoff_ms = prefills.handoff_ms(),
-            .max_colocated_tokens = pauses.max_colocated_tokens(state_.settings.beside),
-            .observed = prefills.observed(),
-            .unreported_ms = state_.settings.spread ? unreported_ms() : 0,
-            .sampled_engines =
-                state_.settings.spread && state_.relays_used() ? sampled_engines : 0};
+    return {
+        .prefill_rate = prefills.speed(),
+        .colocated_rate = colocated.speed(),
+        .colocated_fixed_ms = colocated.fixed_ms(),
+        .prefill_fixed_ms = prefills.fixed_ms(),
+        .handoff_ms = prefills.handoff_ms(),
+        .max_colocated_tokens = pauses.max_colocated_tokens(state_.settings.colocated),
+        .observed = prefills.observed(),
+        .unreported_ms = state_.settings.spread_choices ? unreported_ms() : 0,
+        .sampled_engines =
+            state_.settings.spread_choices && state_.relays_used() ? sampled_engines : 0};
 }
 
 double model_placement::unreported_ms() const
@@ -169,7 +171,7 @@
 
 void model_placement::record_prefill(placement const& planned, boot_clock::duration took)
 {
-    if (state_.settings.learn)
+    if (state_.settings.learn_prefill_times)
     {
         meter().prefill_done(
             {.tokens = planned.unread, .wait_ms = planned.wait_ms, .took = took});
@@ -179,7 +181,7 @@
 void model_placement::record_colocated_prefill(placement const&     planned,
                                                boot_clock::duration took)
 {
-    if (state_.settings.learn)
+    if (state_.settings.learn_prefill_times)
     {
         meter().colocated_prefill_done(
             {.tokens = planned.unread, .wait_ms = planned.wait_ms, .took = took});
--- a/src/serving/peer_exchange.cpp
+++ b/src/serving/peer_exchange.cpp
@@ -132,7 +132,7 @@
         scope == digest_scope::vm ? update_source::centre : update_source::others;
     for (auto const& [server, left] : extras.avoided)
     {
-        if (state_.settings.warn)
+        if (state_.settings.share_server_losses)
         {
             state_.health.hear(server, left, source, now);
         }
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -28,7 +28,7 @@
     {
         return 1;
     }
-    return call.stated_tokens.value_or(quota.unstated);
+    return call.stated_tokens.value_or(quota.default_units);
 }
 
 // 2. Links
@@ -162,7 +162,7 @@
     }
     auto const known = [&](std::string const& workspace)
     {
-        return rules->find_workspace_named(workspace) != nullptr;
+        return rules->find_workspace_by_name(workspace) != nullptr;
     };
     home_.forget_unless(known);
     std::erase_if(isolated_buckets_,
@@ -321,7 +321,7 @@
     auto const  now = boot_clock::now();
     auto const& rules = state_.view.rules;
     auto const* caller_workspace =
-        rules ? rules->find_workspace_named(ask.workspace) : nullptr;
+        rules ? rules->find_workspace_by_name(ask.workspace) : nullptr;
     if (caller_workspace == nullptr)
     {
         return {};
--- a/src/serving/store_followers.hpp
+++ b/src/serving/store_followers.hpp
@@ -201,7 +201,7 @@
         {
             return;
         }
-        keep_quotas(*rules);
+        carry_over_quotas(*rules);
         auto const version = static_cast<std::int64_t>(rules->version());
         state_.log.write(
             event_line{"rules"}
@@ -214,11 +214,11 @@
 
     /// Keeps the last quota where a new one is unreadable, so that its workspace doesn't
     /// become unlimited.
-    void keep_quotas(serving_rules& rules)
+    void carry_over_quotas(serving_rules& rules)
     {
         auto const none = std::make_shared<serving_rules const>();
         auto const last = state_.view.rules ? state_.view.rules : none;
-        for (auto const& name : rules.keep_quotas(*last))
+        for (auto const& name : rules.carry_over_quotas(*last))
         {
             state_.log.write(
                 event_line{"quota_unreadable"}
--- a/tests/concurrent/server_poller_test.cpp
+++ b/tests/concurrent/server_poller_test.cpp
@@ -56,9 +56,9 @@
     {
         return {};
     }
-    leaf::result<service_answer> call(backend_server const&, service_call const&)
+    leaf::result<service_response> call(backend_server const&, service_call const&)
     {
-        return service_answer{};
+        return service_response{};
     }
     void cancel(backend_server const&, std::string const&, std::uint64_t) {}
 };
--- a/tests/failure/orders_socket_test.cpp
+++ b/tests/failure/orders_socket_test.cpp
@@ -151,7 +151,7 @@
         [] { return transport_fault::refused; });
     system.engine(0).signal(SIGCONT);
     EXPECT_TRUE(fault == transport_fault::silent ||
-                fault == transport_fault::answer_lost);
+                fault == transport_fault::response_lost);
     EXPECT_LT(boot_clock::now(), end + millis{10'000});
 }
 
--- a/tests/property/not_run_property_test.cpp
+++ b/tests/property/not_run_property_test.cpp
@@ -153,8 +153,8 @@
     bool&         dead;
     std::uint64_t tokens = 0; // of every engine's answer
 
-    leaf::result<service_answer> call(backend_server const& server,
-                                      service_call const&   service)
+    leaf::result<service_response> call(backend_server const& server,
+                                        service_call const&   service)
     {
         if (dead)
         {
@@ -164,7 +164,7 @@
         {
         case fault::lost_answer:
             run(service);
-            return failed(transport_fault::answer_lost, server);
+            return failed(transport_fault::response_lost, server);
         case fault::lost_request:
             all.doubted.insert(service.body);
             return failed(transport_fault::silent, server);
@@ -175,11 +175,11 @@
             return failed(transport_fault::not_connected, server);
         case fault::killed_before:
             dead = true;
-            return failed(transport_fault::answer_lost, server);
+            return failed(transport_fault::response_lost, server);
         case fault::killed_after:
             dead = true;
             run(service);
-            return failed(transport_fault::answer_lost, server);
+            return failed(transport_fault::response_lost, server);
         case fault::refused:
             return run(service, 500);
         default:
@@ -215,9 +215,10 @@
                   .output_tokens = tokens});
             return {};
         }
-        return fault == fault::lost_answer ? failed(transport_fault::answer_lost, server)
-               : fault == fault::late      ? failed(transport_fault::silent, server)
-                                           : leaf::result<void>{};
+        return fault == fault::lost_answer
+                   ? failed(transport_fault::response_lost, server)
+               : fault == fault::late ? failed(transport_fault::silent, server)
+                                      : leaf::result<void>{};
     }
 
     void cancel(backend_server const&, std::string const&, std::uint64_t) {}
@@ -237,7 +238,7 @@
         return leaf::new_error(transport_failure{fault, server.id, 0});
     }
 
-    service_answer run(service_call const& service, int status = 200)
+    service_response run(service_call const& service, int status = 200)
     {
         ++all.runs[service.request_id];
         ++all.runs_by_body[service.body];
--- a/tests/property/order_property_test.cpp
+++ b/tests/property/order_property_test.cpp
@@ -147,7 +147,7 @@
 enum class delivery
 {
     answered,
-    answer_lost,
+    response_lost,
     lost,
     refused
 };
@@ -260,7 +260,7 @@
     {
         own.sending = fate == delivery::refused ? order_sending::without_effect
                                                 : order_sending::may_have_effect;
-        if (fate == delivery::answered || fate == delivery::answer_lost)
+        if (fate == delivery::answered || fate == delivery::response_lost)
         {
             bought_.emplace_back(own.id, now_ + delay);
         }
--- a/tests/property/platform_decoders_property_test.cpp
+++ b/tests/property/platform_decoders_property_test.cpp
@@ -97,11 +97,11 @@
         document.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
     RC_ASSERT(rules.has_value());
     auto const& owner = rules->workspaces().front();
-    bool const  free = !owner.quota && owner.quota_readable;
+    bool const  free = !owner.quota && owner.quota_valid;
     bool const  no_rate = entry["rate_per_s"].is_null() || entry["rate_per_s"] == 0;
     RC_ASSERT(!free || no_rate || entry["rate_per_s"] < 1);
     RC_ASSERT(!owner.quota || (owner.quota->rate > 0 && owner.quota->burst >= 0 &&
-                               owner.quota->unstated >= 0));
+                               owner.quota->default_units >= 0));
 }
 
 TEST(platform_decoders, whole_rules_are_read)
@@ -115,11 +115,11 @@
     EXPECT_EQ(route->targets.size(), 2U);
     EXPECT_TRUE(route->resumable);
     EXPECT_EQ(rules->find_route("a.example", "/q/x"), nullptr);
-    EXPECT_EQ(rules->find_workspace("k")->name, "w");
+    EXPECT_EQ(rules->find_workspace_by_key("k")->name, "w");
     workspace_quota const quota{
-        .rate = 36'000, .burst = 72'000, .tokens = true, .unstated = 200};
-    EXPECT_EQ(rules->find_workspace("k")->quota, quota);
-    EXPECT_EQ(rules->find_workspace("l"), nullptr);
+        .rate = 36'000, .burst = 72'000, .tokens = true, .default_units = 200};
+    EXPECT_EQ(rules->find_workspace_by_key("k")->quota, quota);
+    EXPECT_EQ(rules->find_workspace_by_key("l"), nullptr);
     EXPECT_TRUE(rules->find_service("s")->has_engines);
     EXPECT_EQ(rules->find_service("s")->fleet->most, 8);
     EXPECT_EQ(rules->limits().header_bytes, 100);
--- a/tests/replay/load_policy_test.cpp
+++ b/tests/replay/load_policy_test.cpp
@@ -431,7 +431,7 @@
 {
     simulated_fleet const        fleet(6, 12);
     boot_clock::time_point const now{std::chrono::hours{1}};
-    role_need const              need{.prefill = 5.5, .decode = 1.3, .beside = true};
+    role_need const              need{.prefill = 5.5, .decode = 1.3, .colocated = true};
     EXPECT_TRUE(plan_role_changes(engines_of(fleet), need, now, {}).empty());
     role_need const separate{.prefill = 5.5, .decode = 1.3};
     EXPECT_FALSE(plan_role_changes(engines_of(fleet), separate, now, {}).empty());
--- a/tests/replay/quota_replay_test.cpp
+++ b/tests/replay/quota_replay_test.cpp
@@ -27,7 +27,8 @@
 TEST(quota_replay, swings_above_the_quota_stay_within_the_bound)
 {
     quota_load load;
-    load.quota = {.rate = 248'000, .burst = 248'000, .tokens = true, .unstated = 200};
+    load.quota = {
+        .rate = 248'000, .burst = 248'000, .tokens = true, .default_units = 200};
     load.usual = 0.55;
     load.peak = 2.55;
     load.peak_end = load.peak_begin + millis{8000};
@@ -38,7 +39,7 @@
 TEST(quota_replay, workspace_far_above_a_lowered_quota_gets_what_it_allows)
 {
     quota_load load;
-    load.quota = {.rate = 60'780, .burst = 218'805, .tokens = true, .unstated = 200};
+    load.quota = {.rate = 60'780, .burst = 218'805, .tokens = true, .default_units = 200};
     load.usual = 1.4;
     load.peak = 1;
     expect_quota_enforced(load);
@@ -48,7 +49,8 @@
 TEST(quota_replay, workspace_that_sends_many_times_its_usual_gets_what_its_quota_allows)
 {
     quota_load load;
-    load.quota = {.rate = 533'643, .burst = 533'643, .tokens = true, .unstated = 200};
+    load.quota = {
+        .rate = 533'643, .burst = 533'643, .tokens = true, .default_units = 200};
     load.peak = 6;
     load.peak_end = load.peak_begin + millis{11'000};
     expect_quota_enforced(load);
@@ -60,7 +62,8 @@
 {
     quota_load load;
     load.peak = 1;
-    load.quota = {.rate = 400'000, .burst = 400'000, .tokens = true, .unstated = 200};
+    load.quota = {
+        .rate = 400'000, .burst = 400'000, .tokens = true, .default_units = 200};
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
         EXPECT_EQ(play_homes(load, {.vms = 90}, seed).refused, 0) << "seed " << seed;
--- a/tests/unit/fleet_orders_test.cpp
+++ b/tests/unit/fleet_orders_test.cpp
@@ -98,7 +98,7 @@
 TEST(fleet_orders, pass_ends_with_the_first_call_that_gets_no_answer)
 {
     holder vm;
-    vm.duties.outcome = duty_outcome::no_answer;
+    vm.duties.outcome = duty_outcome::no_response;
     vm.act();
     EXPECT_EQ(vm.duties.orders.size(), 1U);
     vm.duties.outcome = duty_outcome::accepted;
--- a/tests/unit/key_state_test.cpp
+++ b/tests/unit/key_state_test.cpp
@@ -30,10 +30,10 @@
         return {};
     }
 
-    leaf::result<service_answer> call(backend_server const&, service_call const&)
+    leaf::result<service_response> call(backend_server const&, service_call const&)
     {
         ++dispatched;
-        return service_answer{200, "", ""};
+        return service_response{200, "", ""};
     }
 
     void cancel(backend_server const&, std::string const&, std::uint64_t)
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -23,7 +23,7 @@
 
 constexpr quota_terms     terms{millis{8000}, 100, 140'000};
 constexpr workspace_quota small_quota{
-    .rate = 36'000, .burst = 36'000, .tokens = true, .unstated = 200};
+    .rate = 36'000, .burst = 36'000, .tokens = true, .default_units = 200};
 
 // 1. Bucket
 
@@ -255,8 +255,9 @@
     EXPECT_EQ(quota_cost(small_quota, call), 200);
     call.stated_tokens = 1540;
     EXPECT_EQ(quota_cost(small_quota, call), 1540);
-    EXPECT_EQ(quota_cost({.rate = 5, .burst = 5, .tokens = false, .unstated = 1}, call),
-              1);
+    EXPECT_EQ(
+        quota_cost({.rate = 5, .burst = 5, .tokens = false, .default_units = 1}, call),
+        1);
 }
 
 } // namespace
--- a/tests/unit/true_clock_test.cpp
+++ b/tests/unit/step_filtered_clock_test.cpp
@@ -1,5 +1,5 @@
-// true_clock under steps, drift and corrections of the system clock.
-#include "domain/true_clock.hpp"
+// step_filtered_clock under steps, drift and corrections of the system clock.
+#include "domain/step_filtered_clock.hpp"
 
 #include <gtest/gtest.h>
 
@@ -17,9 +17,9 @@
 
 // A VM's clock jumps three seconds ahead and eight seconds later back. Calls must still
 // be counted in the usage windows in which they began to run.
-TEST(true_clock, a_temporary_step_is_ignored)
+TEST(step_filtered_clock, a_temporary_step_is_ignored)
 {
-    true_clock clock;
+    step_filtered_clock clock;
     for (std::int64_t ms = 0; ms < 20'000; ms += 100)
     {
         auto const step = ms >= 5000 && ms < 13'000 ? 3000 : 0;
@@ -28,10 +28,10 @@
     }
 }
 
-TEST(true_clock, slow_corrections_are_followed)
+TEST(step_filtered_clock, slow_corrections_are_followed)
 {
-    true_clock   clock;
-    std::int64_t shown = start_ms;
+    step_filtered_clock clock;
+    std::int64_t        shown = start_ms;
     for (std::int64_t ms = 0; ms < 100'000; ms += 100)
     {
         shown += 101;
@@ -39,9 +39,9 @@
     }
 }
 
-TEST(true_clock, a_lasting_step_is_accepted)
+TEST(step_filtered_clock, a_lasting_step_is_accepted)
 {
-    true_clock clock;
+    step_filtered_clock clock;
     clock.read(at(0), start_ms);
     EXPECT_EQ(clock.read(at(100), start_ms - 60'000), start_ms + 100);
     EXPECT_EQ(clock.read(at(130'000), start_ms + 70'000), start_ms + 70'000);
--- a/tests/unit/usage_reporter_test.cpp
+++ b/tests/unit/usage_reporter_test.cpp
@@ -36,15 +36,16 @@
 class fake_reports
 {
 public:
-    leaf::result<order_answer> send(order_message const& message, boot_clock::time_point)
+    leaf::result<order_response> send(order_message const& message,
+                                      boot_clock::time_point)
     {
         bodies[message.path].push_back(message.body);
         if (lost_answers-- > 0)
         {
             return leaf::new_error(
-                transport_failure{transport_fault::answer_lost, "platform", 0});
+                transport_failure{transport_fault::response_lost, "platform", 0});
         }
-        return order_answer{200, "{}"};
+        return order_response{200, "{}"};
     }
 
     int                                             lost_answers = 0;
