--- a/src/app/duty_runner.hpp
+++ b/src/app/duty_runner.hpp
@@ -25,7 +25,7 @@
 {
     std::string     data_centre; // whose engines this entry VM may control
     std::string     holder;      // node and incarnation
-    lease_terms     lease;
+    lease_durations lease;
     order_terms     orders;
     orderer_options platform;
 };
--- a/src/app/engine_controller.hpp
+++ b/src/app/engine_controller.hpp
@@ -117,10 +117,10 @@
             journal_.send(held, tracked, message_for(held, tracked, *place));
             break;
         case order_step::close_done:
-            journal_.close(held, tracked, order_end::done);
+            journal_.close(held, tracked, order_result::done);
             break;
         case order_step::close_abandoned:
-            journal_.close(held, tracked, order_end::abandoned);
+            journal_.close(held, tracked, order_result::abandoned);
             break;
         }
     }
--- a/src/app/lease_keeper.hpp
+++ b/src/app/lease_keeper.hpp
@@ -23,7 +23,7 @@
 {
 public:
     lease_keeper(log_writer<Log>& writer, ledger_store& store, std::string duty,
-                 std::string holder, lease_terms terms)
+                 std::string holder, lease_durations terms)
         : writer_(writer), store_(store), terms_(terms), duty_(std::move(duty)),
           agent_(duty_, std::move(holder), terms)
     {
@@ -45,7 +45,7 @@
         }
         bool const            effective = outcome->effect == record_effect::effective;
         std::lock_guard const lock(mutex_);
-        agent_.settle(outcome->offset, effective, boot_clock::now());
+        agent_.handle_outcome(outcome->offset, effective, boot_clock::now());
         if (effective && record->has_claim())
         {
             log_info(log_part::lease, "Holds " + duty_ + ".");
@@ -100,7 +100,7 @@
 
     log_writer<Log>&   writer_;
     ledger_store&      store_;
-    lease_terms        terms_;
+    lease_durations    terms_;
     std::string        duty_;
     mutable std::mutex mutex_;
     lease_agent        agent_;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -99,7 +99,7 @@
 {
 }
 
-lease_terms node::parts::terms() const
+lease_durations node::parts::terms() const
 {
     return {millis{options.lease_ms}, millis{options.renew_ms}, millis{options.drift_ms}};
 }
--- a/src/app/node_duties.hpp
+++ b/src/app/node_duties.hpp
@@ -20,7 +20,7 @@
 class node_duties
 {
 public:
-    node_duties(settings const& options, std::string const& holder, lease_terms lease,
+    node_duties(settings const& options, std::string const& holder, lease_durations lease,
                 log_writer<http_platform>& writer, ledger_store& store,
                 http_platform& platform, server_directory& directory, span_store& spans)
         : orders_(millis{options.order_timeout_ms}, options.name),
@@ -46,7 +46,7 @@
 
 private:
     static duty_options duties_of(settings const& options, std::string const& holder,
-                                  lease_terms lease)
+                                  lease_durations lease)
     {
         duty_options       value{.data_centre = options.data_centre,
                                  .holder = holder,
--- a/src/app/node_parts.hpp
+++ b/src/app/node_parts.hpp
@@ -85,7 +85,7 @@
     std::thread                                 keeper_thread;
     std::thread                                 book_thread;
 
-    lease_terms        terms() const;
+    lease_durations    terms() const;
     wire::peer_message message() const;
     void               pass_on_access();
     void               take_message(wire::peer_message const& message);
--- a/src/app/order_journal.hpp
+++ b/src/app/order_journal.hpp
@@ -65,8 +65,9 @@
     /// Open orders of the duty, as the log has them.
     std::vector<tracked_order> open(held_lease const& held, boot_clock::time_point now)
     {
-        auto const entries = store_.with_ledger(
-            [&](ledger const& value) { return value.orders().open_of(lease_.duty()); });
+        auto const entries =
+            store_.with_ledger([&](ledger const& value)
+                               { return value.orders().open_orders_of(lease_.duty()); });
         std::map<std::string, note> known;
         std::vector<tracked_order>  result;
         for (auto const& entry : entries)
@@ -104,7 +105,7 @@
         }
     }
 
-    void close(held_lease const& held, tracked_order const& tracked, order_end end)
+    void close(held_lease const& held, tracked_order const& tracked, order_result end)
     {
         wire::log_record record;
         auto*            body = record.mutable_outcome();
--- a/src/ledger/duty_log.cpp
+++ b/src/ledger/duty_log.cpp
@@ -29,7 +29,7 @@
     }
     if (value.kind == duty_kind::renew)
     {
-        document["later"] = value.later;
+        document["later"] = value.reported_after;
     }
     if (value.kind == duty_kind::change)
     {
@@ -64,7 +64,7 @@
         }
         if (record.kind == duty_kind::renew)
         {
-            record.later = document.value("later", std::set<std::int64_t>{});
+            record.reported_after = document.value("later", std::set<std::int64_t>{});
         }
         if (record.kind == duty_kind::change)
         {
@@ -96,8 +96,8 @@
     return number_;
 }
 
-void duty_log::absorb(duty_record const& record, std::uint64_t offset,
-                      boot_clock::time_point now)
+void duty_log::apply(duty_record const& record, std::uint64_t offset,
+                     boot_clock::time_point now)
 {
     if (offset < end_)
     {
@@ -118,13 +118,13 @@
     if (record.kind == duty_kind::change)
     {
         std::erase_if(changing_, [&](auto const& entry)
-                      { return now - entry.second.heard > change_retention; });
+                      { return now - entry.second.read_at > change_retention; });
         changing_[record.server] = {now, record.prefill};
     }
     if (record.kind == duty_kind::renew)
     {
         reported_ = std::max(reported_, record.window);
-        reported_after_ = record.later;
+        reported_after_ = record.reported_after;
     }
     while (sealed_.size() > max_windows)
     {
@@ -152,14 +152,14 @@
     return end_;
 }
 
-boot_clock::duration duty_log::silence(boot_clock::time_point now) const
+boot_clock::duration duty_log::record_age(boot_clock::time_point now) const
 {
     return now - last_read_at_;
 }
 
 bool duty_log::may_claim(boot_clock::time_point now) const
 {
-    return silence(now) > options_.lease + options_.margin;
+    return record_age(now) > options_.lease + options_.margin;
 }
 
 std::optional<boot_clock::time_point>
--- a/src/ledger/duty_log.hpp
+++ b/src/ledger/duty_log.hpp
@@ -49,9 +49,9 @@
     std::uint64_t number = 0; // sequence number of the append within its holder
     std::int64_t  window = 0; // seal: the window. renew: last window reported without gap
     usage_counts  counts;     // seal: requests by workspace
-    std::set<std::int64_t> later;  // renew: reported windows after `window`
-    std::string            server; // change: id of the engine
-    bool prefill = false;          // change: the new role; true: prefill, false: decode
+    std::set<std::int64_t> reported_after; // renew: reported windows after `window`
+    std::string            server;         // change: id of the engine
+    bool prefill = false; // change: the new role; true: prefill, false: decode
 
     bool operator==(duty_record const&) const = default;
 };
@@ -73,7 +73,7 @@
 /// An announced role change of an engine, planned or in progress.
 struct announced_change
 {
-    boot_clock::time_point heard{};         // when this VM read the announcement
+    boot_clock::time_point read_at{};       // when this VM read the announcement
     bool                   prefill = false; // new role; false: decode
 
     bool operator==(announced_change const&) const = default;
@@ -92,8 +92,8 @@
 
     /// Folds the record at `offset`, which was read or whose append was acknowledged.
     /// Records before end() are ignored.
-    void absorb(duty_record const& record, std::uint64_t offset,
-                boot_clock::time_point now);
+    void apply(duty_record const& record, std::uint64_t offset,
+               boot_clock::time_point now);
 
     /// Skips the records up to `offset`, which are truncated or can't be parsed.
     void skip(std::uint64_t offset, boot_clock::time_point now);
@@ -103,7 +103,7 @@
     std::uint64_t end() const noexcept;
 
     /// Time since the newest record was read, or since the start if none was.
-    boot_clock::duration silence(boot_clock::time_point now) const;
+    boot_clock::duration record_age(boot_clock::time_point now) const;
 
     /// True if no record was read for longer than the lease plus the margin.
     bool may_claim(boot_clock::time_point now) const;
--- a/src/ledger/lease_agent.cpp
+++ b/src/ledger/lease_agent.cpp
@@ -8,7 +8,7 @@
 namespace marigoldcrank
 {
 
-lease_agent::lease_agent(std::string duty, std::string holder, lease_terms durations)
+lease_agent::lease_agent(std::string duty, std::string holder, lease_durations durations)
     : duty_(std::move(duty)), holder_(std::move(holder)), durations_(durations)
 {
 }
@@ -47,7 +47,8 @@
     return record;
 }
 
-void lease_agent::settle(std::uint64_t offset, bool effective, boot_clock::time_point now)
+void lease_agent::handle_outcome(std::uint64_t offset, bool effective,
+                                 boot_clock::time_point now)
 {
     auto const sent = std::exchange(pending_, std::nullopt);
     if (!sent || !effective)
--- a/src/ledger/lease_agent.hpp
+++ b/src/ledger/lease_agent.hpp
@@ -1,7 +1,7 @@
 // One process's state machine for one lease: when to claim or renew the duty, and whether
 // the process holds it. It does no I/O and reads no clock.
 //
-// Index: 1 lease_terms, 2 held_lease, 3 lease_view, 4 lease_agent
+// Index: 1 lease_durations, 2 held_lease, 3 lease_view, 4 lease_agent
 //
 // Two rules keep two processes from holding a duty at once. The holder's lease runs from
 // the time before it sent the claim or renewal, and only once it has read that record
@@ -27,13 +27,13 @@
 {
 
 /// Durations that must be the same on all entry VMs.
-struct lease_terms
+struct lease_durations
 {
     millis lease{6000}; // 6000  ms; validity of one renewal
     millis renew{2000}; // 2000  ms; least time between two claims or renewals
     millis drift{500};  // 500   ms; bound on the drift between two clocks within a lease
 
-    bool operator==(lease_terms const&) const = default;
+    bool operator==(lease_durations const&) const = default;
 };
 
 /// Authority for a duty until `valid_until`.
@@ -59,7 +59,7 @@
 class lease_agent
 {
 public:
-    lease_agent(std::string duty, std::string holder, lease_terms durations);
+    lease_agent(std::string duty, std::string holder, lease_durations durations);
 
     /// The claim or renewal that is due, if any. The lease runs from `now`, so the caller
     /// reads the clock before it sends the record.
@@ -68,7 +68,7 @@
 
     /// Takes the outcome of the record of the last `prepare`, which was read back at
     /// `offset`. Earlier records count as abandoned; their outcomes are not passed in.
-    void settle(std::uint64_t offset, bool effective, boot_clock::time_point now);
+    void handle_outcome(std::uint64_t offset, bool effective, boot_clock::time_point now);
 
     /// Ends the lease locally; returns the release record if the log names this process
     /// as holder.
@@ -97,7 +97,7 @@
 
     std::string                           duty_;
     std::string                           holder_;
-    lease_terms                           durations_;
+    lease_durations                       durations_;
     std::optional<pending_record>         pending_;
     std::optional<held_lease>             held_;
     std::optional<boot_clock::time_point> last_sent_;
--- a/src/ledger/order_fold.cpp
+++ b/src/ledger/order_fold.cpp
@@ -6,9 +6,9 @@
 namespace marigoldcrank
 {
 
-char const* name_of(order_end end) noexcept
+char const* name_of(order_result end) noexcept
 {
-    return end == order_end::done ? "done" : "abandoned";
+    return end == order_result::done ? "done" : "abandoned";
 }
 
 bool order_fold::apply(std::uint64_t offset, wire::order_intent const& intent)
@@ -58,7 +58,7 @@
     return open_;
 }
 
-std::vector<open_order> order_fold::open_of(std::string const& duty) const
+std::vector<open_order> order_fold::open_orders_of(std::string const& duty) const
 {
     std::vector<open_order> result;
     for (auto const& [target, order] : open_)
--- a/src/ledger/order_fold.hpp
+++ b/src/ledger/order_fold.hpp
@@ -1,7 +1,7 @@
 // Fold of orders to servers and platforms: the open ones, the same for all readers of the
 // log.
 //
-// Index: 1 order_end, 2 open_order, 3 order_fold
+// Index: 1 order_result, 2 open_order, 3 order_fold
 //
 // An order is opened by its intent record, before it is sent, and closed by its outcome
 // record. A target has at most one open order, so that two orders for it can't overtake
@@ -28,14 +28,14 @@
 {
 
 /// Result of a closed order.
-enum class order_end
+enum class order_result
 {
     done,     // the wanted state was observed
     abandoned // without effect, or no longer waited for
 };
 
 /// The name that is stored in the log.
-char const* name_of(order_end end) noexcept;
+char const* name_of(order_result end) noexcept;
 
 /// An order whose outcome isn't recorded yet.
 struct open_order
@@ -67,7 +67,7 @@
     std::map<std::string, open_order> const& open() const noexcept;
 
     /// Open orders of one duty, sorted by target.
-    std::vector<open_order> open_of(std::string const& duty) const;
+    std::vector<open_order> open_orders_of(std::string const& duty) const;
 
     /// Snapshot of the state; a restored fold continues exactly as this one would.
     void              save(wire::order_state_snapshot& snapshot) const;
--- a/src/ledger/usage_windows.cpp
+++ b/src/ledger/usage_windows.cpp
@@ -132,7 +132,7 @@
     }
 }
 
-void usage_sum::absorb(usage_record const& record)
+void usage_sum::apply(usage_record const& record)
 {
     merge(windows_[record.window].logged, record);
 }
@@ -182,7 +182,7 @@
            is_covered_by(record.counts, logged->second.counts);
 }
 
-std::vector<usage_record> usage_sum::missing_before(std::int64_t window) const
+std::vector<usage_record> usage_sum::unlogged_before(std::int64_t window) const
 {
     std::vector<usage_record> records;
     for (auto const& [number, sum] : windows_)
--- a/src/ledger/usage_windows.hpp
+++ b/src/ledger/usage_windows.hpp
@@ -82,7 +82,7 @@
 {
 public:
     /// Merges a record of the log.
-    void absorb(usage_record const& record);
+    void apply(usage_record const& record);
 
     /// Merges counts that another VM sent in a digest. Without them the counts of a VM
     /// that is killed or can't reach the store would be lost, and its windows billed too
@@ -97,7 +97,7 @@
 
     /// Records of windows before `window` that were received in digests and whose counts
     /// aren't in the log.
-    std::vector<usage_record> missing_before(std::int64_t window) const;
+    std::vector<usage_record> unlogged_before(std::int64_t window) const;
 
     /// True if the log holds these counts or larger ones.
     bool holds(usage_record const& record) const;
--- a/src/serving/duty_worker.hpp
+++ b/src/serving/duty_worker.hpp
@@ -139,7 +139,7 @@
         }
         if (state_.serves_peers)
         {
-            for (auto const& record : state_.usage_known.missing_before(before))
+            for (auto const& record : state_.usage_known.unlogged_before(before))
             {
                 pending_.push_back(record);
             }
@@ -220,7 +220,7 @@
         {
             return times_.renew;
         }
-        if (log_.silence(now) > times_.renew * 2)
+        if (log_.record_age(now) > times_.renew * 2)
         {
             return times_.poll_silent_holder;
         }
@@ -255,10 +255,11 @@
         {
             co_return; // the lease runs out, and another VM takes over
         }
-        std::vector<duty_record> records{duty_record{.kind = duty_kind::renew,
-                                                     .holder = state_.incarnation,
-                                                     .window = reported_up_to_,
-                                                     .later = reported_windows_}};
+        std::vector<duty_record> records{
+            duty_record{.kind = duty_kind::renew,
+                        .holder = state_.incarnation,
+                        .window = reported_up_to_,
+                        .reported_after = reported_windows_}};
         for (auto& seal : due_seals())
         {
             records.push_back(std::move(seal));
@@ -298,7 +299,7 @@
         }
         for (std::size_t at = 0; at < records.size(); ++at)
         {
-            log_.absorb(records[at], *offset + at, boot_clock::now());
+            log_.apply(records[at], *offset + at, boot_clock::now());
         }
         co_return true;
     }
@@ -327,7 +328,7 @@
             auto const record = parse_duty_record(chunk.records[at]);
             if (record)
             {
-                log_.absorb(*record, chunk.from + at, boot_clock::now());
+                log_.apply(*record, chunk.from + at, boot_clock::now());
             }
             else
             {
@@ -412,7 +413,7 @@
         {
             if (auto const record = parse_usage_record(text))
             {
-                state_.usage_known.absorb(*record);
+                state_.usage_known.apply(*record);
             }
         }
         usage_next_ = chunk.from + chunk.records.size();
--- a/src/serving/fleet_orders.hpp
+++ b/src/serving/fleet_orders.hpp
@@ -100,7 +100,8 @@
     bool announced(std::string const& id, role_change const& change) const
     {
         auto const logged = log_.changing().find(id);
-        return logged != log_.changing().end() && logged->second.heard >= change.planned;
+        return logged != log_.changing().end() &&
+               logged->second.read_at >= change.planned;
     }
 
     boost::asio::awaitable<void> order_servers()
@@ -237,7 +238,7 @@
         {
             bool const read =
                 announced(id, change) &&
-                now - log_.changing().at(id).heard >= times_.announcement_delay;
+                now - log_.changing().at(id).read_at >= times_.announcement_delay;
             if (!change.ordered && read)
             {
                 change.ordered = true;
@@ -272,7 +273,7 @@
 
     bool in_change(announced_change const& change, boot_clock::time_point now) const
     {
-        return now - change.heard < times_.role_change_timeout;
+        return now - change.read_at < times_.role_change_timeout;
     }
 
     /// All engines of a service that aren't leaving; those in a change with their future
@@ -293,7 +294,7 @@
             auto const logged = log_.changing().find(id);
             if (logged != log_.changing().end())
             {
-                each.changed = logged->second.heard;
+                each.changed = logged->second.read_at;
                 each.role = !in_change(logged->second, now) ? server.role
                             : logged->second.prefill        ? engine_role::prefill
                                                             : engine_role::decode;
--- a/tests/property/duty_log_property_test.cpp
+++ b/tests/property/duty_log_property_test.cpp
@@ -146,7 +146,7 @@
                 vm.waiting = false;
                 if (taken && now_ >= vm.paused_until)
                 {
-                    vm.log.absorb(at->record, at->at, now_);
+                    vm.log.apply(at->record, at->at, now_);
                 }
             }
             at = pending_.erase(at);
@@ -157,7 +157,7 @@
     {
         for (auto offset = vm.log.end(); offset < records_.size(); ++offset)
         {
-            vm.log.absorb(records_[offset], offset, now_);
+            vm.log.apply(records_[offset], offset, now_);
         }
     }
 
@@ -216,7 +216,7 @@
         }
         if (kind == duty_kind::renew)
         {
-            record.later = {window + 2, window + 5};
+            record.reported_after = {window + 2, window + 5};
         }
         if (kind == duty_kind::change)
         {
@@ -239,9 +239,9 @@
     duty_log               log("a", {lease, margin}, {});
     boot_clock::time_point now{std::chrono::seconds{9}};
     duty_record seal{.kind = duty_kind::seal, .window = 4, .counts = {{"w", 1}}};
-    log.absorb(seal, 0, now);
+    log.apply(seal, 0, now);
     seal.counts = {{"w", 2}};
-    log.absorb(seal, 1, now);
+    log.apply(seal, 1, now);
     EXPECT_EQ(log.sealed().at(4).at("w"), 1);
 }
 
@@ -253,8 +253,9 @@
     duty_log               log("b", {lease, margin}, {});
     boot_clock::time_point now{std::chrono::seconds{9}};
     log.skip(6, now); // includes the seal of window 7
-    log.absorb({.kind = duty_kind::renew, .holder = "a", .window = 5, .later = {7}}, 7,
-               now);
+    log.apply(
+        {.kind = duty_kind::renew, .holder = "a", .window = 5, .reported_after = {7}}, 7,
+        now);
     EXPECT_TRUE(log.reported(5));
     EXPECT_FALSE(log.reported(6));
     EXPECT_TRUE(log.reported(7));
@@ -285,12 +286,12 @@
         for (auto const index : *rc::gen::container<std::vector<std::size_t>>(
                  6, rc::gen::inRange<std::size_t>(0, records.size())))
         {
-            sum.absorb(records[index]);
+            sum.apply(records[index]);
         }
     }
     for (auto const& record : records)
     {
-        sum.absorb(*parse_usage_record(format_usage_record(record)));
+        sum.apply(*parse_usage_record(format_usage_record(record)));
     }
     std::int64_t billed = 0;
     for (std::int64_t window = 1; window <= 3; ++window)
@@ -330,17 +331,17 @@
         }
         else
         {
-            sum.absorb(record);
+            sum.apply(record);
         }
     }
     sum.hear(published.back());
     RC_ASSERT(sum.of(1).at("w") == calls);
-    for (auto const& record : sum.missing_before(2))
+    for (auto const& record : sum.unlogged_before(2))
     {
-        sum.absorb(record);
+        sum.apply(record);
     }
     RC_ASSERT(sum.of(1).at("w") == calls);
-    RC_ASSERT(sum.missing_before(2).empty());
+    RC_ASSERT(sum.unlogged_before(2).empty());
     RC_ASSERT(sum.holds(published.back()));
 }
 
@@ -351,10 +352,10 @@
     usage_sum sum;
     for (auto const* writer : {"a/100", "b/100"})
     {
-        sum.absorb({writer, 1, {}, {}});
+        sum.apply({writer, 1, {}, {}});
     }
     sum.hear({"a/100", 2, {{"w", 3}}, {}});
-    sum.absorb({"b/100", 2, {{"w", 4}}, {}});
+    sum.apply({"b/100", 2, {{"w", 4}}, {}});
     EXPECT_FALSE(sum.complete(2));
     sum.hear({"a/200", 3, {}, {}});
     EXPECT_TRUE(sum.complete(2));
@@ -366,7 +367,7 @@
 TEST(usage_sum, window_is_complete_once_counts_of_a_later_one_arrive)
 {
     usage_sum sum;
-    sum.absorb({"a/100", 1, {}, {}});
+    sum.apply({"a/100", 1, {}, {}});
     sum.hear({"a/100", 2, {{"w", 3}}, {}});
     EXPECT_FALSE(sum.complete(2));
     sum.hear({"a/100", 3, {}, {}});
--- a/tests/property/lease_property_test.cpp
+++ b/tests/property/lease_property_test.cpp
@@ -20,9 +20,9 @@
 
 // 1. Model
 
-constexpr lease_terms  durations{millis{1000}, millis{300}, millis{100}};
-constexpr int          process_count = 3;
-constexpr std::int64_t parts_per_thousand = 1000;
+constexpr lease_durations durations{millis{1000}, millis{300}, millis{100}};
+constexpr int             process_count = 3;
+constexpr std::int64_t    parts_per_thousand = 1000;
 /// Per 1000. Within one lease, a clock that is 45 in 1000 fast and one that is as slow
 /// differ by less than `drift`.
 constexpr std::int64_t max_drift = 45;
@@ -148,7 +148,7 @@
             if (record.record_id() == self.pending)
             {
                 self.pending.clear();
-                self.agent->settle(offset, effective, self.clock(now_ms_));
+                self.agent->handle_outcome(offset, effective, self.clock(now_ms_));
             }
         }
     }
--- a/tests/unit/fleet_orders_test.cpp
+++ b/tests/unit/fleet_orders_test.cpp
@@ -46,7 +46,7 @@
     holder() : state(entry_settings{.name = "vm"}, "vm/1"), log("vm/1", {}, {})
     {
         auto const now = boot_clock::now();
-        log.absorb(
+        log.apply(
             {.kind = duty_kind::claim, .holder = "vm/1", .number = log.begin_append(now)},
             0, now);
         std::vector<service> services{
@@ -110,7 +110,7 @@
 TEST(fleet_orders, nothing_is_ordered_without_the_lease)
 {
     holder vm;
-    vm.log.absorb({.kind = duty_kind::claim, .holder = "other"}, 1, boot_clock::now());
+    vm.log.apply({.kind = duty_kind::claim, .holder = "other"}, 1, boot_clock::now());
     vm.overload();
     vm.act();
     EXPECT_TRUE(vm.duties.orders.empty());
@@ -124,12 +124,12 @@
     holder vm;
     for (int index = 0; index < 12; ++index)
     {
-        vm.log.absorb({.kind = duty_kind::change,
-                       .holder = "vm/1",
-                       .server = std::to_string(index),
-                       .prefill = true},
-                      static_cast<std::uint64_t>(index + 1),
-                      boot_clock::now() - std::chrono::seconds{20});
+        vm.log.apply({.kind = duty_kind::change,
+                      .holder = "vm/1",
+                      .server = std::to_string(index),
+                      .prefill = true},
+                     static_cast<std::uint64_t>(index + 1),
+                     boot_clock::now() - std::chrono::seconds{20});
     }
     vm.overload();
     vm.act();
--- a/tests/unit/lease_keeper_test.cpp
+++ b/tests/unit/lease_keeper_test.cpp
@@ -63,7 +63,7 @@
 protected:
     using keeper = lease_keeper<fake_log>;
 
-    static constexpr lease_terms terms{millis{1000}, millis{50}, millis{10}};
+    static constexpr lease_durations terms{millis{1000}, millis{50}, millis{10}};
 
     lease_state state() const
     {
