--- a/apps/marigoldcrank.cpp
+++ b/apps/marigoldcrank.cpp
@@ -70,13 +70,13 @@
     return nodes;
 }
 
-std::string environment(char const* name)
+std::string environment_value(char const* name)
 {
     char const* value = std::getenv(name);
     return value != nullptr ? value : "";
 }
 
-int run(operator_command const& command, command_context const& context)
+int run_command(operator_command const& command, command_context const& context)
 {
     return leaf::try_handle_all(
         [&] { return command.run(context); },
@@ -113,8 +113,8 @@
                                      {"help", no_argument, nullptr, 'h'},
                                      {nullptr, 0, nullptr, 0}};
     command_context     context;
-    context.options.nodes = split_nodes(environment("MARIGOLDCRANK_NODES"));
-    context.options.operator_key = environment("MARIGOLDCRANK_OPERATOR_KEY");
+    context.options.nodes = split_nodes(environment_value("MARIGOLDCRANK_NODES"));
+    context.options.operator_key = environment_value("MARIGOLDCRANK_OPERATOR_KEY");
     bool help = false;
     for (int flag = 0;
          (flag = getopt_long(argc, argv, "n:k:jh", options, nullptr)) != -1;)
@@ -149,5 +149,5 @@
         return exit_usage;
     }
     context.arguments.assign(argv + optind + 1, argv + argc);
-    return run(*command, context);
+    return run_command(*command, context);
 }
--- a/apps/marigoldcrankd.cpp
+++ b/apps/marigoldcrankd.cpp
@@ -32,7 +32,7 @@
     std::string settings_file;
     std::string entry_file; // settings of an entry VM on the users' platform
     bool        check_only = false;
-    bool        print = false;
+    bool        print_settings = false;
 };
 
 void print_help()
@@ -75,7 +75,7 @@
             result.check_only = true;
             break;
         case 'p':
-            result.print = true;
+            result.print_settings = true;
             break;
         case 'h':
             print_help();
@@ -85,8 +85,8 @@
             return std::nullopt;
         }
     }
-    bool const without_file = result.settings_file.empty() && result.entry_file.empty();
-    if (without_file && !result.print)
+    bool const no_file = result.settings_file.empty() && result.entry_file.empty();
+    if (no_file && !result.print_settings)
     {
         std::cerr
             << "marigoldcrankd: --settings or --entry FILE is missing; see --help\n";
@@ -100,10 +100,10 @@
 /// Waits for SIGTERM or SIGINT, or an operator's order to drain.
 void wait_for_stop(node const& daemon, sigset_t const& signals)
 {
-    timespec const pause{0, 100'000'000};
+    timespec const poll_interval{0, 100'000'000};
     while (!daemon.drain_requested())
     {
-        if (sigtimedwait(&signals, nullptr, &pause) > 0)
+        if (sigtimedwait(&signals, nullptr, &poll_interval) > 0)
         {
             return;
         }
@@ -158,7 +158,7 @@
             {
                 BOOST_LEAF_ASSIGN(options, load_settings(command->settings_file));
             }
-            if (command->print)
+            if (command->print_settings)
             {
                 std::cout << format_settings(options);
                 return exit_ok;
--- a/apps/operator_client.cpp
+++ b/apps/operator_client.cpp
@@ -8,37 +8,37 @@
 
 namespace
 {
-constexpr int connect_s = 2;
-constexpr int read_s = 10;
+constexpr int connect_timeout_s = 2;
+constexpr int read_timeout_s = 10;
 } // namespace
 
 operator_client::operator_client(client_options options) : options_(std::move(options)) {}
 
-leaf::result<nlohmann::json> operator_client::ask(std::string const& node,
-                                                  std::string const& method,
-                                                  std::string const& path,
-                                                  std::string const& body) const
+leaf::result<nlohmann::json> operator_client::send_request(std::string const& node,
+                                                           std::string const& method,
+                                                           std::string const& path,
+                                                           std::string const& body) const
 {
     httplib::Client client("http://" + node);
-    client.set_connection_timeout(connect_s);
-    client.set_read_timeout(read_s);
+    client.set_connection_timeout(connect_timeout_s);
+    client.set_read_timeout(read_timeout_s);
     httplib::Request request;
     request.method = method;
     request.path = path;
     request.body = body;
     request.headers = {{"Authorization", "Bearer " + options_.operator_key},
                        {"Content-Type", "application/json"}};
-    auto const answer = client.send(request);
-    if (!answer)
+    auto const response = client.send(request);
+    if (!response)
     {
-        return transport_error(answer.error(), node);
+        return transport_error(response.error(), node);
     }
-    if (answer->status != 200)
+    if (response->status != 200)
     {
         return leaf::new_error(
-            transport_failure{transport_fault::refused, node, answer->status});
+            transport_failure{transport_fault::refused, node, response->status});
     }
-    auto parsed = nlohmann::json::parse(answer->body, nullptr, false);
+    auto parsed = nlohmann::json::parse(response->body, nullptr, false);
     if (parsed.is_discarded())
     {
         return leaf::new_error(message_failure{"answer of " + node, "not JSON"});
@@ -46,18 +46,18 @@
     return parsed;
 }
 
-leaf::result<nlohmann::json> operator_client::ask_any(std::string const& method,
-                                                      std::string const& path,
-                                                      std::string const& body) const
+leaf::result<nlohmann::json> operator_client::send_to_any(std::string const& method,
+                                                          std::string const& path,
+                                                          std::string const& body) const
 {
     for (std::size_t index = 0; index + 1 < options_.nodes.size(); ++index)
     {
-        auto answer = leaf::try_handle_all(
-            [&] { return ask(options_.nodes[index], method, path, body); },
+        auto response = leaf::try_handle_all(
+            [&] { return send_request(options_.nodes[index], method, path, body); },
             [] { return nlohmann::json(); });
-        if (!answer.is_null())
+        if (!response.is_null())
         {
-            return answer;
+            return response;
         }
     }
     if (options_.nodes.empty())
@@ -65,33 +65,34 @@
         return leaf::new_error(
             transport_failure{transport_fault::not_connected, "no node", 0});
     }
-    return ask(options_.nodes.back(), method, path, body);
+    return send_request(options_.nodes.back(), method, path, body);
 }
 
 leaf::result<nlohmann::json> operator_client::get(std::string const& path) const
 {
-    return ask_any("GET", path, "");
+    return send_to_any("GET", path, "");
 }
 
 leaf::result<nlohmann::json> operator_client::post(std::string const&    path,
                                                    nlohmann::json const& body) const
 {
-    return ask_any("POST", path, body.dump());
+    return send_to_any("POST", path, body.dump());
 }
 
-std::vector<nlohmann::json> operator_client::get_all(std::string const& path) const
+std::vector<nlohmann::json> operator_client::get_from_all(std::string const& path) const
 {
-    std::vector<nlohmann::json> answers;
+    std::vector<nlohmann::json> responses;
     for (auto const& node : options_.nodes)
     {
-        auto answer = leaf::try_handle_all([&] { return ask(node, "GET", path, ""); },
-                                           [] { return nlohmann::json(); });
-        if (!answer.is_null())
+        auto response =
+            leaf::try_handle_all([&] { return send_request(node, "GET", path, ""); },
+                                 [] { return nlohmann::json(); });
+        if (!response.is_null())
         {
-            answers.push_back(std::move(answer));
+            responses.push_back(std::move(response));
         }
     }
-    return answers;
+    return responses;
 }
 
 } // namespace marigoldcrank
--- a/apps/operator_client.hpp
+++ b/apps/operator_client.hpp
@@ -34,15 +34,16 @@
                                       nlohmann::json const& body) const;
 
     /// From every node that answers.
-    std::vector<nlohmann::json> get_all(std::string const& path) const;
+    std::vector<nlohmann::json> get_from_all(std::string const& path) const;
 
 private:
-    leaf::result<nlohmann::json> ask(std::string const& node, std::string const& method,
-                                     std::string const& path,
-                                     std::string const& body) const;
-    leaf::result<nlohmann::json> ask_any(std::string const& method,
-                                         std::string const& path,
-                                         std::string const& body) const;
+    leaf::result<nlohmann::json> send_request(std::string const& node,
+                                              std::string const& method,
+                                              std::string const& path,
+                                              std::string const& body) const;
+    leaf::result<nlohmann::json> send_to_any(std::string const& method,
+                                             std::string const& path,
+                                             std::string const& body) const;
 
     client_options options_;
 };
--- a/apps/operator_commands.cpp
+++ b/apps/operator_commands.cpp
@@ -41,12 +41,12 @@
     auto const rules = parsed.workspaces.size() + parsed.keys.size() +
                        parsed.models.size() + parsed.services.size() +
                        parsed.targets.size() + parsed.groups.size();
-    print(context, {{"outcome", "ok"}, {"rules", rules}},
-          file + ": " + std::to_string(rules) + " rules, all good");
+    print_result(context, {{"outcome", "ok"}, {"rules", rules}},
+                 file + ": " + std::to_string(rules) + " rules, all good");
     return exit_ok;
 }
 
-std::vector<std::string> lines_of(std::string const& text)
+std::vector<std::string> split_lines(std::string const& text)
 {
     std::vector<std::string> lines;
     std::istringstream       stream(text);
@@ -60,25 +60,25 @@
 /// Lines only in one of the two texts, as `- old` and `+ new`.
 json changed_lines(std::string const& before, std::string const& after)
 {
-    auto const old_lines = lines_of(before);
-    auto const new_lines = lines_of(after);
+    auto const old_lines = split_lines(before);
+    auto const new_lines = split_lines(after);
     json       changes = json::array();
-    auto       only_in = [&](auto const& lines, auto const& others, char const* sign)
+    auto append_missing = [&](auto const& lines, auto const& others, char const* prefix)
     {
         for (auto const& line : lines)
         {
             if (std::find(others.begin(), others.end(), line) == others.end())
             {
-                changes.push_back(sign + line);
+                changes.push_back(prefix + line);
             }
         }
     };
-    only_in(old_lines, new_lines, "- ");
-    only_in(new_lines, old_lines, "+ ");
+    append_missing(old_lines, new_lines, "- ");
+    append_missing(new_lines, old_lines, "+ ");
     return changes;
 }
 
-std::string joined(json const& lines)
+std::string join_lines(json const& lines)
 {
     std::string text;
     for (auto const& line : lines)
@@ -99,12 +99,12 @@
     operator_client const client(context.options);
     BOOST_LEAF_AUTO(current, client.get("/admin/rules"));
     auto const changes = changed_lines(current.value("rules", ""), text);
-    print(context, {{"revision", current["revision"]}, {"changes", changes}},
-          joined(changes));
+    print_result(context, {{"revision", current["revision"]}, {"changes", changes}},
+                 join_lines(changes));
     return exit_ok;
 }
 
-int exit_code_of(std::string const& outcome)
+int exit_code_for(std::string const& outcome)
 {
     if (outcome == "accepted")
     {
@@ -126,17 +126,18 @@
 /// A lost answer is settled by sending the same change again: the log knows its id.
 leaf::result<json> send_change(operator_client const& client, json const& change)
 {
-    constexpr int tries = 3;
-    json          answer = {{"outcome", "unknown"}};
-    for (int attempt = 0; attempt < tries && answer.value("outcome", "") == "unknown";
-         ++attempt)
+    constexpr int max_attempts = 3;
+    json          response = {{"outcome", "unknown"}};
+    for (int attempt = 0;
+         attempt < max_attempts && response.value("outcome", "") == "unknown"; ++attempt)
     {
-        answer = leaf::try_handle_all([&] { return client.post("/admin/rules", change); },
-                                      [] {
-                                          return json{{"outcome", "unknown"}};
-                                      });
+        response =
+            leaf::try_handle_all([&] { return client.post("/admin/rules", change); },
+                                 [] {
+                                     return json{{"outcome", "unknown"}};
+                                 });
     }
-    return answer;
+    return response;
 }
 
 leaf::result<int> apply(command_context const& context)
@@ -152,18 +153,18 @@
     auto const changes = changed_lines(current.value("rules", ""), text);
     if (!context.options.json)
     {
-        std::cout << joined(changes);
+        std::cout << join_lines(changes);
     }
     json const change = {{"change_id", random_id(change_id_digits)},
                          {"base_revision", current["revision"]},
                          {"rules", text},
                          {"author", author_name()}};
-    BOOST_LEAF_AUTO(answer, send_change(client, change));
-    answer["changes"] = changes;
-    auto const outcome = answer.value("outcome", "unknown");
-    print(context, answer,
-          outcome + ", revision " + std::to_string(answer.value("revision", 0)));
-    return exit_code_of(outcome);
+    BOOST_LEAF_AUTO(response, send_change(client, change));
+    response["changes"] = changes;
+    auto const outcome = response.value("outcome", "unknown");
+    print_result(context, response,
+                 outcome + ", revision " + std::to_string(response.value("revision", 0)));
+    return exit_code_for(outcome);
 }
 
 // 2. Keys
@@ -175,9 +176,9 @@
     auto const& workspace = context.arguments[2];
     auto const  rule = key.id + " = workspace=" + workspace + " salt=" + salt +
                       " hash=" + salted_hash(salt, key.secret);
-    print(context, {{"key", format_api_key(key)}, {"rule", rule}},
-          "key, shown this once: " + format_api_key(key) +
-              "\nline for [keys], below a comment saying who asked:\n" + rule);
+    print_result(context, {{"key", format_api_key(key)}, {"rule", rule}},
+                 "key, shown this once: " + format_api_key(key) +
+                     "\nline for [keys], below a comment saying who asked:\n" + rule);
     return exit_ok;
 }
 
@@ -189,39 +190,39 @@
         return usage_error("keys withdraw ID [compromised]");
     }
     operator_client const client(context.options);
-    BOOST_LEAF_AUTO(answer,
+    BOOST_LEAF_AUTO(response,
                     client.post("/admin/keys/withdraw", {{"key_id", context.arguments[1]},
                                                          {"compromised", compromised}}));
-    bool const withdrawn = answer.value("outcome", "") == "withdrawn";
-    print(context, answer, answer.value("outcome", "failed"));
+    bool const withdrawn = response.value("outcome", "") == "withdrawn";
+    print_result(context, response, response.value("outcome", "failed"));
     return withdrawn ? exit_ok : exit_failed;
 }
 
-leaf::result<int> hash_operator_key(command_context const& context)
+leaf::result<int> create_operator_key(command_context const& context)
 {
     auto const key = make_api_key("operator");
     auto const salt = make_salt();
     auto const setting = salt + "$" + salted_hash(salt, key.secret);
-    print(context, {{"key", key.secret}, {"setting", setting}},
-          "operators' key, shown this once: " + key.secret +
-              "\nsetting for [node]: operator_key = " + setting);
+    print_result(context, {{"key", key.secret}, {"setting", setting}},
+                 "operators' key, shown this once: " + key.secret +
+                     "\nsetting for [node]: operator_key = " + setting);
     return exit_ok;
 }
 
 leaf::result<int> keys(command_context const& context)
 {
-    auto const& words = context.arguments;
-    if (words.size() == 3 && words[0] == "create")
+    auto const& arguments = context.arguments;
+    if (arguments.size() == 3 && arguments[0] == "create")
     {
         return create_key(context);
     }
-    if ((words.size() == 2 || words.size() == 3) && words[0] == "withdraw")
+    if ((arguments.size() == 2 || arguments.size() == 3) && arguments[0] == "withdraw")
     {
         return withdraw_key(context);
     }
-    if (words.size() == 1 && words[0] == "operator")
+    if (arguments.size() == 1 && arguments[0] == "operator")
     {
-        return hash_operator_key(context);
+        return create_operator_key(context);
     }
     return usage_error("keys create ID WORKSPACE | withdraw ID [compromised] | operator");
 }
@@ -231,28 +232,28 @@
 leaf::result<int> status(command_context const& context)
 {
     operator_client const client(context.options);
-    auto const            answers = client.get_all("/admin/status");
+    auto const            responses = client.get_from_all("/admin/status");
     std::string           text;
-    for (auto const& answer : answers)
+    for (auto const& response : responses)
     {
-        text += answer.value("node", "") + ": revision " +
-                std::to_string(answer.value("revision", 0)) + ", next offset " +
-                std::to_string(answer.value("next_offset", 0)) + ", peers " +
-                std::to_string(answer["live_peers"].size()) + ", backend servers " +
-                std::to_string(answer["backend_servers"].size()) + "\n";
+        text += response.value("node", "") + ": revision " +
+                std::to_string(response.value("revision", 0)) + ", next offset " +
+                std::to_string(response.value("next_offset", 0)) + ", peers " +
+                std::to_string(response["live_peers"].size()) + ", backend servers " +
+                std::to_string(response["backend_servers"].size()) + "\n";
     }
-    print(context, answers, text);
-    return answers.empty() ? exit_unreachable : exit_ok;
+    print_result(context, responses, text);
+    return responses.empty() ? exit_unreachable : exit_ok;
 }
 
-std::string span_line(json const& span)
+std::string format_span(json const& span)
 {
     constexpr std::uint64_t nanos_per_micro = 1000;
-    auto const              micros = (span.value("end_unix_nano", std::uint64_t{0}) -
-                         span.value("begin_unix_nano", std::uint64_t{0})) /
-                        nanos_per_micro;
+    auto const              duration_us = (span.value("end_unix_nano", std::uint64_t{0}) -
+                              span.value("begin_unix_nano", std::uint64_t{0})) /
+                             nanos_per_micro;
     std::string line = span.value("node", "") + " " + span.value("name", "") + " " +
-                       std::to_string(micros) + " us";
+                       std::to_string(duration_us) + " us";
     for (auto const& [name, value] : span["attributes"].items())
     {
         line += " " + name + "=" + value.get<std::string>();
@@ -268,9 +269,10 @@
     }
     operator_client const client(context.options);
     json                  spans = json::array();
-    for (auto const& answer : client.get_all("/admin/explain?id=" + context.arguments[0]))
+    for (auto const& response :
+         client.get_from_all("/admin/explain?id=" + context.arguments[0]))
     {
-        spans.insert(spans.end(), answer["spans"].begin(), answer["spans"].end());
+        spans.insert(spans.end(), response["spans"].begin(), response["spans"].end());
     }
     std::sort(spans.begin(), spans.end(),
               [](json const& left, json const& right)
@@ -278,18 +280,18 @@
     std::string text;
     for (auto const& span : spans)
     {
-        text += span_line(span);
+        text += format_span(span);
     }
-    print(context, spans, text);
+    print_result(context, spans, text);
     return spans.empty() ? exit_failed : exit_ok;
 }
 
 leaf::result<int> usage(command_context const& context)
 {
     operator_client const client(context.options);
-    BOOST_LEAF_AUTO(answer, client.get("/admin/usage"));
+    BOOST_LEAF_AUTO(response, client.get("/admin/usage"));
     std::string text;
-    for (auto const& window : answer["windows"])
+    for (auto const& window : response["windows"])
     {
         for (auto const& figure : window["figures"])
         {
@@ -300,17 +302,17 @@
                     std::to_string(figure.value("calls", 0)) + " calls\n";
         }
     }
-    print(context, answer, text);
+    print_result(context, response, text);
     return exit_ok;
 }
 
 std::string utc_time(std::uint64_t unix_ms)
 {
     constexpr std::uint64_t millis_per_second = 1000;
-    constexpr std::size_t   longest = 32;
+    constexpr std::size_t   max_length = 32;
     auto const seconds = static_cast<std::time_t>(unix_ms / millis_per_second);
     std::tm    parts{};
-    std::array<char, longest> text{};
+    std::array<char, max_length> text{};
     gmtime_r(&seconds, &parts);
     std::strftime(text.data(), text.size(), "%Y-%m-%d %H:%M:%S UTC", &parts);
     return text.data();
@@ -319,9 +321,9 @@
 leaf::result<int> history(command_context const& context)
 {
     operator_client const client(context.options);
-    BOOST_LEAF_AUTO(answer, client.get("/admin/history"));
+    BOOST_LEAF_AUTO(response, client.get("/admin/history"));
     std::string text;
-    for (auto const& change : answer["changes"])
+    for (auto const& change : response["changes"])
     {
         bool const accepted = change.value("accepted", false);
         text += (accepted ? "revision " : "conflict ") +
@@ -331,28 +333,29 @@
                 change.value("author", "") + ", change " + change.value("change_id", "") +
                 "\n";
     }
-    print(context, answer, text);
+    print_result(context, response, text);
     return exit_ok;
 }
 
 /// A lost answer is settled by saying it again: a drain names the state wanted.
 leaf::result<int> drain_servers(command_context const& context, bool drained)
 {
-    auto const& words = context.arguments;
-    if (words.size() != 2 || (words[0] != "server" && words[0] != "data_centre"))
+    auto const& arguments = context.arguments;
+    if (arguments.size() != 2 ||
+        (arguments[0] != "server" && arguments[0] != "data_centre"))
     {
         return usage_error("drain [server ID | data_centre NAME], undrain server ID | "
                            "data_centre NAME");
     }
     operator_client const client(context.options);
-    BOOST_LEAF_AUTO(answer,
-                    client.post("/admin/servers/drain", {{"scope", words[0]},
-                                                         {"name", words[1]},
+    BOOST_LEAF_AUTO(response,
+                    client.post("/admin/servers/drain", {{"scope", arguments[0]},
+                                                         {"name", arguments[1]},
                                                          {"drained", drained},
                                                          {"author", author_name()}}));
-    auto const outcome = answer.value("outcome", "unknown");
-    print(context, answer, outcome);
-    return exit_code_of(outcome);
+    auto const outcome = response.value("outcome", "unknown");
+    print_result(context, response, outcome);
+    return exit_code_for(outcome);
 }
 
 leaf::result<int> undrain(command_context const& context)
@@ -367,8 +370,8 @@
         return drain_servers(context, true);
     }
     operator_client const client(context.options);
-    BOOST_LEAF_AUTO(answer, client.post("/admin/drain", json::object()));
-    print(context, answer, answer.value("outcome", "failed"));
+    BOOST_LEAF_AUTO(response, client.post("/admin/drain", json::object()));
+    print_result(context, response, response.value("outcome", "failed"));
     return exit_ok;
 }
 
--- a/apps/operator_output.cpp
+++ b/apps/operator_output.cpp
@@ -8,8 +8,8 @@
 namespace marigoldcrank
 {
 
-void print(command_context const& context, nlohmann::json const& value,
-           std::string const& text)
+void print_result(command_context const& context, nlohmann::json const& value,
+                  std::string const& text)
 {
     std::cout << (context.options.json ? value.dump(2) : text) << "\n";
 }
--- a/apps/operator_output.hpp
+++ b/apps/operator_output.hpp
@@ -12,8 +12,8 @@
 {
 
 /// Prints JSON for scripts or the text for a person, as the options ask.
-void print(command_context const& context, nlohmann::json const& value,
-           std::string const& text);
+void print_result(command_context const& context, nlohmann::json const& value,
+                  std::string const& text);
 
 /// Tells what is wrong with the command line; the exit code for it.
 int usage_error(std::string const& text);
--- a/apps/operator_reports.cpp
+++ b/apps/operator_reports.cpp
@@ -35,7 +35,7 @@
     std::cout << "\n";
 }
 
-int print_all(command_context const& context, json const& verdicts)
+int print_verdicts(command_context const& context, json const& verdicts)
 {
     if (context.options.json)
     {
@@ -52,52 +52,52 @@
 // 1. Targets of nodes
 
 /// Each node judges its own calls; the sums are the verdict.
-void merge(json& whole, json const& part)
+void merge_verdict(json& total, json const& part)
 {
-    whole["calls"] = whole.value("calls", 0) + part.value("calls", 0);
-    whole["met"] = whole.value("met", 0) + part.value("met", 0);
+    total["calls"] = total.value("calls", 0) + part.value("calls", 0);
+    total["met"] = total.value("met", 0) + part.value("met", 0);
     for (auto const& id : part.value("missed", json::array()))
     {
-        whole["missed"].push_back(id);
+        total["missed"].push_back(id);
     }
-    whole["state"] = name_of(state_of(whole.value("calls", 0), whole.value("met", 0),
-                                      whole.value("percent", 0)));
+    total["state"] = name_of(state_of(total.value("calls", 0), total.value("met", 0),
+                                      total.value("percent", 0)));
 }
 
-leaf::result<int> targets_of_nodes(command_context const& context)
+leaf::result<int> show_node_targets(command_context const& context)
 {
     operator_client const client(context.options);
-    auto const            answers = client.get_all("/admin/targets");
+    auto const            responses = client.get_from_all("/admin/targets");
     json                  verdicts = json::array();
-    for (auto const& answer : answers)
+    for (auto const& response : responses)
     {
-        for (auto const& part : answer.value("targets", json::array()))
+        for (auto const& part : response.value("targets", json::array()))
         {
-            auto const same = std::find_if(
+            auto const existing = std::find_if(
                 verdicts.begin(), verdicts.end(),
                 [&](json const& verdict)
                 { return verdict.value("rule", "") == part.value("rule", ""); });
-            if (same == verdicts.end())
+            if (existing == verdicts.end())
             {
                 verdicts.push_back(part);
             }
             else
             {
-                merge(*same, part);
+                merge_verdict(*existing, part);
             }
         }
     }
-    return answers.empty() ? exit_unreachable : print_all(context, verdicts);
+    return responses.empty() ? exit_unreachable : print_verdicts(context, verdicts);
 }
 
 // 2. Targets recomputed
 
-std::int64_t number_of(std::string const& text)
+std::int64_t parse_number(std::string const& text)
 {
     return std::strtoll(text.c_str(), nullptr, 10);
 }
 
-void take_span(json const& span, std::vector<target_sample>& samples)
+void append_sample(json const& span, std::vector<target_sample>& samples)
 {
     if (span.value("name", "") != "finish")
     {
@@ -109,31 +109,31 @@
         attributes[attribute.value("key", "")] =
             attribute.value("value", json::object()).value("stringValue", "");
     }
-    samples.push_back({number_of(attributes["marigoldcrank.ended_unix_ms"]),
+    samples.push_back({parse_number(attributes["marigoldcrank.ended_unix_ms"]),
                        attributes["request.id"], attributes["marigoldcrank.workspace"],
                        attributes["marigoldcrank.outcome"],
-                       number_of(attributes["marigoldcrank.first_token_ms"]),
-                       number_of(attributes["marigoldcrank.between_tokens_ms"])});
+                       parse_number(attributes["marigoldcrank.first_token_ms"]),
+                       parse_number(attributes["marigoldcrank.between_tokens_ms"])});
 }
 
-std::vector<target_sample> samples_of(std::string const& text)
+std::vector<target_sample> parse_samples(std::string const& text)
 {
     std::vector<target_sample> samples;
     std::istringstream         stream(text);
     for (std::string line; std::getline(stream, line);)
     {
-        auto const whole = json::parse(line, nullptr, false);
-        if (!whole.is_object())
+        auto const document = json::parse(line, nullptr, false);
+        if (!document.is_object())
         {
             continue;
         }
-        for (auto const& resource : whole.value("resourceSpans", json::array()))
+        for (auto const& resource : document.value("resourceSpans", json::array()))
         {
             for (auto const& scope : resource.value("scopeSpans", json::array()))
             {
                 for (auto const& span : scope.value("spans", json::array()))
                 {
-                    take_span(span, samples);
+                    append_sample(span, samples);
                 }
             }
         }
@@ -141,24 +141,24 @@
     return samples;
 }
 
-leaf::result<int> targets_recomputed(command_context const& context)
+leaf::result<int> recompute_targets(command_context const& context)
 {
     BOOST_LEAF_AUTO(spans, read_file(context.arguments[0]));
     BOOST_LEAF_AUTO(rules, read_file(context.arguments[1]));
     BOOST_LEAF_AUTO(config, parse_rules(rules, context.arguments[1]));
-    auto const   samples = samples_of(spans);
-    std::int64_t newest = 0;
+    auto const   samples = parse_samples(spans);
+    std::int64_t latest_ms = 0;
     for (auto const& sample : samples)
     {
-        newest = std::max(newest, sample.at_ms);
+        latest_ms = std::max(latest_ms, sample.at_ms);
     }
     json verdicts = json::array();
     for (auto const& [id, rule] : config.targets)
     {
-        auto const verdict = evaluate_target(rule, samples, newest);
+        auto const verdict = evaluate_target(rule, samples, latest_ms);
         verdicts.push_back(to_json(verdict));
     }
-    return print_all(context, verdicts);
+    return print_verdicts(context, verdicts);
 }
 } // namespace
 
@@ -166,14 +166,14 @@
 {
     if (context.arguments.empty())
     {
-        return targets_of_nodes(context);
+        return show_node_targets(context);
     }
     if (context.arguments.size() != 2)
     {
         std::cerr << "marigoldcrank: targets takes nothing, or SPANS and RULES\n";
         return exit_usage;
     }
-    return targets_recomputed(context);
+    return recompute_targets(context);
 }
 
 // 3. Report
--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -1,6 +1,6 @@
 // What the engine's stand-in computes.
 //
-// Index: 1 tokens, 2 prefix_cache, 3 order_book, 4 running_set
+// Index: 1 tokens, 2 prefix_cache, 3 applied_orders, 4 batch_slots
 #include "engine_model.hpp"
 
 #include <xxhash.h>
@@ -43,16 +43,17 @@
 {
 }
 
-std::int64_t prefix_cache::use(std::string const& prompt, std::int64_t now_ms)
+std::int64_t prefix_cache::lookup_and_store(std::string const& prompt,
+                                            std::int64_t       now_ms)
 {
     std::lock_guard const lock(mutex_);
     std::int64_t          hit = 0;
-    bool                  unbroken = true;
+    bool                  contiguous = true;
     for (std::size_t end = block_bytes; end <= prompt.size(); end += block_bytes)
     {
         auto const hash = hash_text(prompt.data(), end);
-        unbroken = unbroken && by_hash_.count(hash) != 0;
-        if (unbroken)
+        contiguous = contiguous && by_hash_.count(hash) != 0;
+        if (contiguous)
         {
             hit = static_cast<std::int64_t>(end) / bytes_per_token;
         }
@@ -67,30 +68,30 @@
     auto const found = by_hash_.find(hash);
     if (found != by_hash_.end())
     {
-        order_.splice(order_.begin(), order_, found->second);
+        by_recency_.splice(by_recency_.begin(), by_recency_, found->second);
         return;
     }
-    order_.push_front({hash, tokens});
-    by_hash_[hash] = order_.begin();
-    held_ += tokens;
-    publish(true, order_.front(), now_ms);
-    while (held_ > capacity_ && !order_.empty())
+    by_recency_.push_front({hash, tokens});
+    by_hash_[hash] = by_recency_.begin();
+    cached_tokens_ += tokens;
+    publish(true, by_recency_.front(), now_ms);
+    while (cached_tokens_ > capacity_ && !by_recency_.empty())
     {
-        publish(false, order_.back(), now_ms);
-        held_ -= order_.back().tokens;
-        by_hash_.erase(order_.back().hash);
-        order_.pop_back();
+        publish(false, by_recency_.back(), now_ms);
+        cached_tokens_ -= by_recency_.back().tokens;
+        by_hash_.erase(by_recency_.back().hash);
+        by_recency_.pop_back();
     }
 }
 
-void prefix_cache::publish(bool stored, entry const& which, std::int64_t now_ms)
+void prefix_cache::publish(bool stored, entry const& subject, std::int64_t now_ms)
 {
     ++sequence_;
     bool const lost =
         event_gap_ > 0 && sequence_ % static_cast<std::uint64_t>(event_gap_) == 0;
     if (!lost)
     {
-        events_.push_back({sequence_, now_ms, stored, which.hash, which.tokens});
+        events_.push_back({sequence_, now_ms, stored, subject.hash, subject.tokens});
     }
     if (events_.size() > max_events)
     {
@@ -115,7 +116,7 @@
     return list;
 }
 
-bool prefix_cache::holds(std::string const& prefix_hash)
+bool prefix_cache::contains(std::string const& prefix_hash)
 {
     std::lock_guard const lock(mutex_);
     return by_hash_.count(prefix_hash) != 0;
@@ -128,11 +129,12 @@
     store(prefix_hash, tokens, now_ms);
 }
 
-// 3. order_book
+// 3. applied_orders
 
-order_book::order_book(bool checks_fencing) : checks_fencing_(checks_fencing) {}
+applied_orders::applied_orders(bool checks_fencing) : checks_fencing_(checks_fencing) {}
 
-int order_book::apply(json const& order, std::int64_t now_ms, std::int64_t change_ms)
+int applied_orders::apply(json const& order, std::int64_t now_ms,
+                          std::int64_t role_change_ms)
 {
     constexpr int status_ok = 200;
     constexpr int status_malformed = 400;
@@ -150,7 +152,7 @@
     }
     highest_fence_ = std::max(highest_fence_, fence);
     // An order names the state wanted, so a repeated one changes nothing.
-    if (!seen_ids_.insert(order.value("id", "")).second)
+    if (!applied_ids_.insert(order.value("id", "")).second)
     {
         return status_ok;
     }
@@ -163,38 +165,38 @@
     else if (role_ != value)
     {
         role_ = value;
-        changing_until_ = now_ms + change_ms;
+        role_change_until_ms_ = now_ms + role_change_ms;
     }
     return status_ok;
 }
 
-json order_book::state(std::int64_t now_ms)
+json applied_orders::state(std::int64_t now_ms)
 {
     std::lock_guard const lock(mutex_);
     return {{"role", role_},
-            {"changing", now_ms < changing_until_},
+            {"changing", now_ms < role_change_until_ms_},
             {"loaded", loaded_},
             {"highest_fence", highest_fence_}};
 }
 
-std::string order_book::role()
+std::string applied_orders::role()
 {
     std::lock_guard const lock(mutex_);
     return role_;
 }
 
-bool order_book::changing(std::int64_t now_ms)
+bool applied_orders::is_changing_role(std::int64_t now_ms)
 {
     std::lock_guard const lock(mutex_);
-    return now_ms < changing_until_;
+    return now_ms < role_change_until_ms_;
 }
 
-// 4. running_set
+// 4. batch_slots
 
-running_set::running_set(std::int64_t batch) : batch_(batch) {}
+batch_slots::batch_slots(std::int64_t batch) : batch_(batch) {}
 
-bool running_set::enter(std::string const& request_id, std::int64_t priority,
-                        std::int64_t prompt_tokens)
+bool batch_slots::acquire(std::string const& request_id, std::int64_t priority,
+                          std::int64_t prompt_tokens)
 {
     std::unique_lock lock(mutex_);
     auto const       place = std::pair{priority, arrivals_++};
@@ -219,13 +221,13 @@
     return true;
 }
 
-void running_set::prefilled(std::int64_t prompt_tokens)
+void batch_slots::finish_prefill(std::int64_t prompt_tokens)
 {
     std::lock_guard const lock(mutex_);
     prefill_tokens_ -= prompt_tokens;
 }
 
-void running_set::leave(std::string const& request_id)
+void batch_slots::release(std::string const& request_id)
 {
     std::lock_guard const lock(mutex_);
     --running_;
@@ -234,7 +236,7 @@
     changed_.notify_all();
 }
 
-void running_set::cancel(std::string const& request_id)
+void batch_slots::cancel(std::string const& request_id)
 {
     std::lock_guard const lock(mutex_);
     if (active_.count(request_id) != 0)
@@ -244,20 +246,20 @@
     }
 }
 
-void running_set::cut()
+void batch_slots::cancel_all()
 {
     std::lock_guard const lock(mutex_);
     cancelled_.insert(active_.begin(), active_.end());
     changed_.notify_all();
 }
 
-bool running_set::cancelled(std::string const& request_id)
+bool batch_slots::is_cancelled(std::string const& request_id)
 {
     std::lock_guard const lock(mutex_);
     return cancelled_.count(request_id) != 0;
 }
 
-json running_set::load()
+json batch_slots::load()
 {
     std::lock_guard const lock(mutex_);
     return {{"running", running_},
--- a/standins/engine_model.hpp
+++ b/standins/engine_model.hpp
@@ -1,6 +1,6 @@
 // What the engine's stand-in computes: tokens, batch, prefix cache, role, orders.
 //
-// Index: 1 engine_options, 2 prefix_cache, 3 order_book, 4 running_set
+// Index: 1 engine_options, 2 prefix_cache, 3 applied_orders, 4 batch_slots
 #ifndef MARIGOLDCRANK_STANDINS_ENGINE_MODEL_HPP
 #define MARIGOLDCRANK_STANDINS_ENGINE_MODEL_HPP
 
@@ -44,12 +44,12 @@
                  std::int64_t event_gap);
 
     /// Prompt tokens that need not be computed; the prompt is kept afterwards.
-    std::int64_t use(std::string const& prompt, std::int64_t now_ms);
+    std::int64_t lookup_and_store(std::string const& prompt, std::int64_t now_ms);
 
     /// Events with sequence >= from that are old enough to be seen.
     nlohmann::json events(std::uint64_t from, std::int64_t now_ms);
 
-    bool holds(std::string const& prefix_hash);
+    bool contains(std::string const& prefix_hash);
     void import(std::string const& prefix_hash, std::int64_t tokens, std::int64_t now_ms);
 
 private:
@@ -68,58 +68,59 @@
     };
 
     void store(std::string const& hash, std::int64_t tokens, std::int64_t now_ms);
-    void publish(bool stored, entry const& which, std::int64_t now_ms);
+    void publish(bool stored, entry const& subject, std::int64_t now_ms);
 
     std::int64_t                                      capacity_;
     std::int64_t                                      event_lag_ms_;
     std::int64_t                                      event_gap_;
     std::mutex                                        mutex_;
-    std::list<entry>                                  order_; // newest first
+    std::list<entry>                                  by_recency_; // newest first
     std::map<std::string, std::list<entry>::iterator> by_hash_;
-    std::int64_t                                      held_ = 0;
+    std::int64_t                                      cached_tokens_ = 0;
     std::uint64_t                                     sequence_ = 0;
     std::list<event>                                  events_;
 };
 
 /// Role, models and adapters as ordered; refuses old fencing numbers if it checks them.
-class order_book
+class applied_orders
 {
 public:
-    explicit order_book(bool checks_fencing);
+    explicit applied_orders(bool checks_fencing);
 
     /// Applies an order {id, fence, kind, value}; returns the HTTP status.
-    int apply(nlohmann::json const& order, std::int64_t now_ms, std::int64_t change_ms);
+    int apply(nlohmann::json const& order, std::int64_t now_ms,
+              std::int64_t role_change_ms);
 
     nlohmann::json state(std::int64_t now_ms);
     std::string    role();
-    bool           changing(std::int64_t now_ms);
+    bool           is_changing_role(std::int64_t now_ms);
 
 private:
     bool                               checks_fencing_;
     std::mutex                         mutex_;
     std::uint64_t                      highest_fence_ = 0;
     std::string                        role_ = "mixed";
-    std::int64_t                       changing_until_ = 0;
+    std::int64_t                       role_change_until_ms_ = 0;
     std::map<std::string, std::string> loaded_; // kind (model, adapter, version) to value
-    std::set<std::string>              seen_ids_;
+    std::set<std::string>              applied_ids_;
 };
 
 /// Places in the batch, given by priority (lower first), then by arrival.
-class running_set
+class batch_slots
 {
 public:
-    explicit running_set(std::int64_t batch);
+    explicit batch_slots(std::int64_t batch);
 
     /// Waits for a place. False if the request was cancelled meanwhile.
-    bool enter(std::string const& request_id, std::int64_t priority,
-               std::int64_t prompt_tokens);
-    void prefilled(std::int64_t prompt_tokens);
-    void leave(std::string const& request_id);
+    bool acquire(std::string const& request_id, std::int64_t priority,
+                 std::int64_t prompt_tokens);
+    void finish_prefill(std::int64_t prompt_tokens);
+    void release(std::string const& request_id);
     void cancel(std::string const& request_id);
-    bool cancelled(std::string const& request_id);
+    bool is_cancelled(std::string const& request_id);
 
     /// Cuts everything that runs, as a restart would.
-    void cut();
+    void cancel_all();
 
     nlohmann::json load();
 
--- a/standins/engine_standin.cpp
+++ b/standins/engine_standin.cpp
@@ -39,7 +39,7 @@
     engine(engine_options const& value, standin_server& shared)
         : options(value), server(shared),
           cache(value.cache_tokens, value.event_lag_ms, value.event_gap),
-          orders(value.checks_fencing), running(value.batch)
+          orders(value.checks_fencing), slots(value.batch)
     {
     }
 
@@ -47,12 +47,12 @@
     standin_server& server;
     std::string     poison; // a prompt with this text crashes the process
     prefix_cache    cache;
-    order_book      orders;
-    running_set     running;
+    applied_orders  orders;
+    batch_slots     slots;
     std::mutex      mutex;
     json            generated = json::array(); // what was generated for whom, for audits
-    json            lagging_load = json::object();
-    std::int64_t    lagging_at = -1'000'000;
+    json            reported_load = json::object();
+    std::int64_t    reported_at_ms = -1'000'000;
 };
 
 /// One stream, from its request's headers and body.
@@ -69,13 +69,13 @@
 };
 
 std::uint64_t header_number(httplib::Request const& request, char const* name,
-                            std::uint64_t otherwise)
+                            std::uint64_t default_value)
 {
     auto const text = request.get_header_value(name);
-    return text.empty() ? otherwise : std::strtoull(text.c_str(), nullptr, 10);
+    return text.empty() ? default_value : std::strtoull(text.c_str(), nullptr, 10);
 }
 
-stream_job job_of(httplib::Request const& request, json const& body)
+stream_job parse_job(httplib::Request const& request, json const& body)
 {
     stream_job job;
     job.request_id = request.get_header_value("X-Request-Id");
@@ -92,8 +92,8 @@
 
 // 2. Streams
 
-std::string event_text(stream_job const& job, std::uint64_t sequence,
-                       std::string const& token)
+std::string token_event(stream_job const& job, std::uint64_t sequence,
+                        std::string const& token)
 {
     return "data: " +
            json{{"request_id", job.request_id},
@@ -104,7 +104,7 @@
            "\n\n";
 }
 
-std::string end_text(stream_job const& job, std::int64_t prompt_tokens)
+std::string end_event(stream_job const& job, std::int64_t prompt_tokens)
 {
     return "data: " +
            json{{"request_id", job.request_id},   {"attempt", job.attempt},
@@ -114,8 +114,8 @@
            "\n\n";
 }
 
-std::string cancelled_text(stream_job const& job, std::int64_t prompt_tokens,
-                           std::uint64_t count)
+std::string cancelled_event(stream_job const& job, std::int64_t prompt_tokens,
+                            std::uint64_t count)
 {
     return "data: " +
            json{{"request_id", job.request_id},
@@ -133,16 +133,16 @@
 struct stream_faults
 {
     stream_faults(standin_server& server, std::string const& sender)
-        : slow(server.take_fault("slow_decode", sender)),
-          silent(server.take_fault("silent", sender)),
-          junk(server.take_fault("junk", sender)),
-          truncate(server.take_fault("truncate", sender)),
-          crossed_middle(server.take_fault("crossed_middle", sender)),
-          stale(server.take_fault("stale", sender)),
-          doubled(server.take_fault("doubled", sender)),
-          reordered(server.take_fault("reordered", sender)),
-          malformed(server.take_fault("malformed", sender)),
-          crash_middle(server.take_fault("crash_middle", sender))
+        : slow(server.consume_fault("slow_decode", sender)),
+          silent(server.consume_fault("silent", sender)),
+          junk(server.consume_fault("junk", sender)),
+          truncate(server.consume_fault("truncate", sender)),
+          crossed_middle(server.consume_fault("crossed_middle", sender)),
+          stale(server.consume_fault("stale", sender)),
+          doubled(server.consume_fault("doubled", sender)),
+          reordered(server.consume_fault("reordered", sender)),
+          malformed(server.consume_fault("malformed", sender)),
+          crash_middle(server.consume_fault("crash_middle", sender))
     {
     }
 
@@ -159,39 +159,39 @@
 };
 
 /// Events that belong to the token, with what the faults add around it.
-std::string faulty_text(stream_faults const& faults, stream_job const& job,
-                        std::uint64_t sequence, std::string const& token)
+std::string events_with_faults(stream_faults const& faults, stream_job const& job,
+                               std::uint64_t sequence, std::string const& token)
 {
     std::string text;
     if (faults.stale)
     {
         auto earlier = job;
         --earlier.attempt;
-        text += event_text(earlier, sequence, "stale ");
+        text += token_event(earlier, sequence, "stale ");
     }
     if (faults.crossed_middle)
     {
         auto other = job;
         other.request_id = "other-request";
-        text += event_text(other, sequence, "foreign ");
+        text += token_event(other, sequence, "foreign ");
     }
     if (faults.malformed)
     {
         text += "data: {\"request_id\":7,\"attempt\":\"x\",\"text\":[]}\n\n";
     }
-    auto const own = event_text(job, sequence, token);
+    auto const own = token_event(job, sequence, token);
     text += faults.doubled ? own + own : own;
     return text;
 }
 
 /// Sends bytes that are no token until for_ms have passed or the other side left.
-void trickle_junk(httplib::DataSink& sink, std::int64_t for_ms)
+void send_junk_events(httplib::DataSink& sink, std::int64_t for_ms)
 {
-    constexpr std::int64_t pause_ms = 20;
+    constexpr std::int64_t interval_ms = 20;
     std::string const      junk = "data: {\"request_id\":\"junk\"}\n\n";
-    for (std::int64_t waited = 0; waited < for_ms; waited += pause_ms)
+    for (std::int64_t waited = 0; waited < for_ms; waited += interval_ms)
     {
-        std::this_thread::sleep_for(std::chrono::milliseconds(pause_ms));
+        std::this_thread::sleep_for(std::chrono::milliseconds(interval_ms));
         if (!sink.write(junk.data(), junk.size()))
         {
             return;
@@ -200,7 +200,7 @@
 }
 
 /// The fault of a stream's middle; true if the stream ends there.
-bool fail_in_the_middle(stream_faults const& faults, httplib::DataSink& sink)
+bool apply_midstream_fault(stream_faults const& faults, httplib::DataSink& sink)
 {
     if (faults.crash_middle)
     {
@@ -212,7 +212,7 @@
     }
     if (faults.junk)
     {
-        trickle_junk(sink, faults.junk->for_ms);
+        send_junk_events(sink, faults.junk->for_ms);
     }
     return faults.truncate || faults.silent || faults.junk;
 }
@@ -225,43 +225,43 @@
     stream_faults const faults(self.server, job.sender);
     auto const          half = job.resume_from + (job.tokens - job.resume_from) / 2;
     auto const  factor = faults.slow ? std::max<std::int64_t>(faults.slow->for_ms, 1) : 1;
-    std::string held;
+    std::string delayed;
     for (auto sequence = job.resume_from; sequence < job.tokens; ++sequence)
     {
-        if (self.running.cancelled(key))
+        if (self.slots.is_cancelled(key))
         {
-            auto const text = cancelled_text(job, prompt_tokens, sequence);
+            auto const text = cancelled_event(job, prompt_tokens, sequence);
             sink.write(text.data(), text.size());
             return sequence - job.resume_from;
         }
-        if (sequence == half && fail_in_the_middle(faults, sink))
+        if (sequence == half && apply_midstream_fault(faults, sink))
         {
             return sequence - job.resume_from;
         }
-        if (self.server.take_fault("crash_stream", job.sender))
+        if (self.server.consume_fault("crash_stream", job.sender))
         {
             _exit(crash_exit);
         }
         std::this_thread::sleep_for(
             std::chrono::microseconds(self.options.decode_us * factor));
-        auto text = faulty_text(faults, job, sequence, token_of(hash, sequence));
-        if (faults.reordered && held.empty() && sequence + 1 < job.tokens)
+        auto text = events_with_faults(faults, job, sequence, token_of(hash, sequence));
+        if (faults.reordered && delayed.empty() && sequence + 1 < job.tokens)
         {
-            held = std::move(text);
+            delayed = std::move(text);
             continue;
         }
-        text += std::exchange(held, {});
+        text += std::exchange(delayed, {});
         if (!sink.write(text.data(), text.size()))
         {
             return sequence + 1 - job.resume_from;
         }
     }
-    auto const text = end_text(job, prompt_tokens);
+    auto const text = end_event(job, prompt_tokens);
     sink.write(text.data(), text.size());
     return job.tokens - job.resume_from;
 }
 
-std::string running_key(std::string const& request_id, std::uint64_t attempt)
+std::string attempt_key(std::string const& request_id, std::uint64_t attempt)
 {
     return request_id + "/" + std::to_string(attempt);
 }
@@ -270,29 +270,29 @@
 {
     auto const prompt_tokens =
         static_cast<std::int64_t>(job.prompt.size()) / bytes_per_token;
-    auto const key = running_key(job.request_id, job.attempt);
-    if (!self.running.enter(key, job.priority, prompt_tokens))
+    auto const key = attempt_key(job.request_id, job.attempt);
+    if (!self.slots.acquire(key, job.priority, prompt_tokens))
     {
-        auto const text = cancelled_text(job, 0, job.resume_from);
+        auto const text = cancelled_event(job, 0, job.resume_from);
         sink.write(text.data(), text.size());
         return;
     }
     auto const request_id = job.request_id;
     auto const computed =
-        prompt_tokens - self.cache.use(job.prompt, self.server.elapsed_ms());
-    if (auto const late = self.server.take_fault("late", job.sender))
+        prompt_tokens - self.cache.lookup_and_store(job.prompt, self.server.elapsed_ms());
+    if (auto const late = self.server.consume_fault("late", job.sender))
     {
         std::this_thread::sleep_for(std::chrono::milliseconds(late->for_ms));
     }
-    if (self.server.take_fault("crossed", job.sender))
+    if (self.server.consume_fault("crossed", job.sender))
     {
         job.request_id = "other-request";
     }
     std::this_thread::sleep_for(
         std::chrono::microseconds(computed * 1'000'000 / self.options.prefill_per_s));
-    self.running.prefilled(prompt_tokens);
+    self.slots.finish_prefill(prompt_tokens);
     auto const count = send_stream(self, job, key, prompt_tokens, sink);
-    self.running.leave(key);
+    self.slots.release(key);
     std::lock_guard const lock(self.mutex);
     self.generated.push_back({{"request_id", request_id},
                               {"workspace", job.workspace},
@@ -302,7 +302,7 @@
                               {"output_tokens", count}});
 }
 
-void add_streams(engine& self)
+void add_stream_routes(engine& self)
 {
     auto generate = [&](httplib::Request const& request, httplib::Response& response)
     {
@@ -312,12 +312,12 @@
             write_json(response, {{"error", "malformed"}}, 400);
             return;
         }
-        auto const job = job_of(request, body);
+        auto const job = parse_job(request, body);
         if (!self.poison.empty() && job.prompt.find(self.poison) != std::string::npos)
         {
             _exit(crash_exit);
         }
-        if (self.orders.changing(self.server.elapsed_ms()))
+        if (self.orders.is_changing_role(self.server.elapsed_ms()))
         {
             write_json(response, {{"error", "changing role"}}, status_changing);
             return;
@@ -337,19 +337,19 @@
 
 // 3. Other routes
 
-json lagging_load(engine& self)
+json load_report(engine& self)
 {
     std::lock_guard const lock(self.mutex);
     auto const            now = self.server.elapsed_ms();
-    if (now - self.lagging_at >= self.options.load_lag_ms)
+    if (now - self.reported_at_ms >= self.options.load_lag_ms)
     {
-        self.lagging_load = self.running.load();
-        self.lagging_load["role"] = self.orders.role();
-        self.lagging_at = now;
+        self.reported_load = self.slots.load();
+        self.reported_load["role"] = self.orders.role();
+        self.reported_at_ms = now;
     }
-    auto answer = self.lagging_load;
-    answer["lag_ms"] = now - self.lagging_at;
-    if (self.server.take_fault("leaving", ""))
+    auto answer = self.reported_load;
+    answer["lag_ms"] = now - self.reported_at_ms;
+    if (self.server.consume_fault("leaving", ""))
     {
         answer["leaving"] = true;
     }
@@ -360,7 +360,7 @@
 {
     self.server.route("GET", "/load", "",
                       [&](auto const&, auto& response)
-                      { write_json(response, lagging_load(self)); });
+                      { write_json(response, load_report(self)); });
     self.server.route(
         "GET", "/state", "",
         [&](auto const&, auto& response)
@@ -397,7 +397,7 @@
                           {
                               // A change of role restarts the engine's batch: whoever did
                               // not drain it first sees streams that end in the middle.
-                              self.running.cut();
+                              self.slots.cancel_all();
                           }
                           write_json(response, self.orders.state(now), status);
                       });
@@ -407,8 +407,8 @@
                           auto const body = json::parse(request.body, nullptr, false);
                           if (body.is_object())
                           {
-                              self.running.cancel(
-                                  running_key(body.value("request_id", ""),
+                              self.slots.cancel(
+                                  attempt_key(body.value("request_id", ""),
                                               body.value("attempt", std::uint64_t{1})));
                           }
                           write_json(response, json::object());
@@ -417,8 +417,8 @@
                       [&](auto const& request, auto& response)
                       {
                           auto const prefix = request.get_param_value("prefix");
-                          bool const held = self.cache.holds(prefix);
-                          write_json(response, {{"prefix", prefix}}, held ? 200 : 404);
+                          bool const cached = self.cache.contains(prefix);
+                          write_json(response, {{"prefix", prefix}}, cached ? 200 : 404);
                       });
     self.server.route("POST", "/kv/import", "kv_import",
                       [&](auto const& request, auto& response)
@@ -436,17 +436,17 @@
                       });
 }
 
-engine_options options_of(standin_settings const& settings)
+engine_options parse_options(standin_settings const& settings)
 {
     engine_options options;
-    options.prefill_per_s = number_of(settings, "prefill_per_s");
-    options.decode_us = number_of(settings, "decode_us");
-    options.batch = number_of(settings, "batch");
-    options.cache_tokens = number_of(settings, "cache_tokens");
-    options.load_lag_ms = number_of(settings, "load_lag_ms");
-    options.event_lag_ms = number_of(settings, "event_lag_ms");
-    options.event_gap = number_of(settings, "event_gap");
-    options.role_change_ms = number_of(settings, "role_change_ms");
+    options.prefill_per_s = number_setting(settings, "prefill_per_s");
+    options.decode_us = number_setting(settings, "decode_us");
+    options.batch = number_setting(settings, "batch");
+    options.cache_tokens = number_setting(settings, "cache_tokens");
+    options.load_lag_ms = number_setting(settings, "load_lag_ms");
+    options.event_lag_ms = number_setting(settings, "event_lag_ms");
+    options.event_gap = number_setting(settings, "event_gap");
+    options.role_change_ms = number_setting(settings, "role_change_ms");
     options.checks_fencing = settings.at("checks_fencing") == "yes";
     return options;
 }
@@ -474,11 +474,12 @@
                                                   {"poison", ""}},
                                                  "Stand-in for an engine.");
     standin_server server(settings.at("name"),
-                          static_cast<std::size_t>(number_of(settings, "threads")));
-    engine         self(options_of(settings), server);
+                          static_cast<std::size_t>(number_setting(settings, "threads")));
+    engine         self(parse_options(settings), server);
     self.poison = settings.at("poison");
-    add_streams(self);
+    add_stream_routes(self);
     add_state_routes(self);
     add_order_routes(self);
-    return server.run(settings.at("host"), static_cast<int>(number_of(settings, "port")));
+    return server.run(settings.at("host"),
+                      static_cast<int>(number_setting(settings, "port")));
 }
--- a/standins/platform_standin.cpp
+++ b/standins/platform_standin.cpp
@@ -18,21 +18,21 @@
 constexpr int status_gone = 410;
 constexpr int status_too_many = 429;
 
-std::int64_t parameter(httplib::Request const& request, char const* name,
-                       std::int64_t otherwise)
+std::int64_t number_parameter(httplib::Request const& request, char const* name,
+                              std::int64_t default_value)
 {
     return request.has_param(name)
                ? std::strtoll(request.get_param_value(name).c_str(), nullptr, 10)
-               : otherwise;
+               : default_value;
 }
 
 // 1. Log
 
 /// Append-only records with offsets from 1; the oldest expire beyond `retain`.
-class log_records
+class append_only_log
 {
 public:
-    explicit log_records(std::size_t retain) : retain_(retain) {}
+    explicit append_only_log(std::size_t retain) : retain_(retain) {}
 
     std::uint64_t append(std::string text)
     {
@@ -41,59 +41,59 @@
         while (records_.size() > retain_)
         {
             records_.erase(records_.begin());
-            ++first_;
+            ++first_offset_;
         }
         changed_.notify_all();
-        return first_ + records_.size() - 1;
+        return first_offset_ + records_.size() - 1;
     }
 
     json read(std::uint64_t from, std::int64_t wait_ms, int& status)
     {
         std::unique_lock lock(mutex_);
         changed_.wait_for(lock, std::chrono::milliseconds(wait_ms),
-                          [&] { return from < first_ + records_.size(); });
-        if (from < first_)
+                          [&] { return from < first_offset_ + records_.size(); });
+        if (from < first_offset_)
         {
             status = status_gone;
-            return {{"first_retained", first_}};
+            return {{"first_retained", first_offset_}};
         }
         json       records = json::array();
-        auto const begin = static_cast<std::size_t>(from - first_);
-        for (auto index = begin; index < records_.size() && records.size() < max_page;
-             ++index)
+        auto const begin = static_cast<std::size_t>(from - first_offset_);
+        for (auto index = begin;
+             index < records_.size() && records.size() < max_records_per_read; ++index)
         {
             records.push_back(records_[index]);
         }
-        return {{"first_retained", first_}, {"first", from}, {"records", records}};
+        return {{"first_retained", first_offset_}, {"first", from}, {"records", records}};
     }
 
     /// Lets records below `offset` expire.
     void expire(std::uint64_t offset)
     {
         std::lock_guard const lock(mutex_);
-        while (first_ < offset && !records_.empty())
+        while (first_offset_ < offset && !records_.empty())
         {
             records_.erase(records_.begin());
-            ++first_;
+            ++first_offset_;
         }
     }
 
 private:
-    static constexpr std::size_t max_page = 500;
+    static constexpr std::size_t max_records_per_read = 500;
 
     std::size_t              retain_;
     std::mutex               mutex_;
     std::condition_variable  changed_;
     std::vector<std::string> records_;
-    std::uint64_t            first_ = 1;
+    std::uint64_t            first_offset_ = 1;
 };
 
-void add_log(standin_server& server, log_records& log)
+void add_log_routes(standin_server& server, append_only_log& log)
 {
     server.route("POST", "/log/append", "append",
                  [&](auto const& request, auto& response)
                  {
-                     if (auto const late = server.take_fault("late", request))
+                     if (auto const late = server.consume_fault("late", request))
                      {
                          std::thread(
                              [&log, text = request.body, wait = late->for_ms]
@@ -103,7 +103,7 @@
                                  log.append(text);
                              })
                              .detach();
-                         drop_answer(response);
+                         drop_response(response);
                          return;
                      }
                      write_json(response, {{"offset", log.append(request.body)}});
@@ -113,15 +113,15 @@
                  {
                      int        status = 200;
                      auto const body = log.read(
-                         static_cast<std::uint64_t>(parameter(request, "from", 1)),
-                         parameter(request, "wait_ms", 0), status);
+                         static_cast<std::uint64_t>(number_parameter(request, "from", 1)),
+                         number_parameter(request, "wait_ms", 0), status);
                      write_json(response, body, status);
                  });
     server.server().Post(
         "/control/expire",
         [&](auto const& request, auto& response)
         {
-            log.expire(static_cast<std::uint64_t>(parameter(request, "below", 1)));
+            log.expire(static_cast<std::uint64_t>(number_parameter(request, "below", 1)));
             write_json(response, json::object());
         });
 }
@@ -134,27 +134,27 @@
 public:
     explicit vm_list(std::int64_t lag_ms) : lag_(lag_ms) {}
 
-    void replace(json machines)
+    void replace(json vms)
     {
         std::lock_guard const lock(mutex_);
-        machines_ = std::move(machines);
+        vms_ = std::move(vms);
         changed_at_ = std::chrono::steady_clock::now();
     }
 
-    json seen()
+    json listed()
     {
         std::lock_guard const lock(mutex_);
         if (std::chrono::steady_clock::now() - changed_at_ >= lag_)
         {
-            seen_ = machines_;
+            listed_ = vms_;
         }
-        return seen_;
+        return listed_;
     }
 
-    json truth()
+    json current()
     {
         std::lock_guard const lock(mutex_);
-        return machines_;
+        return vms_;
     }
 
     /// Orders are not idempotent: two orders buy two machines.
@@ -162,12 +162,12 @@
     {
         std::lock_guard const lock(mutex_);
         auto                  id = "vm-" + std::to_string(++bought_);
-        machines_.push_back({{"id", id},
-                             {"order_id", order.value("order_id", "")},
-                             {"group", order.value("group", "")},
-                             {"data_centre", order.value("data_centre", "")},
-                             {"cheap", order.value("cheap", false)},
-                             {"state", "starting"}});
+        vms_.push_back({{"id", id},
+                        {"order_id", order.value("order_id", "")},
+                        {"group", order.value("group", "")},
+                        {"data_centre", order.value("data_centre", "")},
+                        {"cheap", order.value("cheap", false)},
+                        {"state", "starting"}});
         changed_at_ = std::chrono::steady_clock::now();
         return id;
     }
@@ -175,11 +175,11 @@
     bool dismiss(std::string const& id)
     {
         std::lock_guard const lock(mutex_);
-        for (auto& machine : machines_)
+        for (auto& vm : vms_)
         {
-            if (machine.value("id", "") == id)
+            if (vm.value("id", "") == id)
             {
-                machine["state"] = "leaving";
+                vm["state"] = "leaving";
                 changed_at_ = std::chrono::steady_clock::now();
                 return true;
             }
@@ -190,17 +190,17 @@
 private:
     std::chrono::milliseconds             lag_;
     std::mutex                            mutex_;
-    json                                  machines_ = json::array();
-    json                                  seen_ = json::array();
+    json                                  vms_ = json::array();
+    json                                  listed_ = json::array();
     int                                   bought_ = 0;
     std::chrono::steady_clock::time_point changed_at_{};
 };
 
-void add_vms(standin_server& server, vm_list& machines)
+void add_vm_routes(standin_server& server, vm_list& vms)
 {
     server.route("GET", "/vms", "",
                  [&](auto const&, auto& response)
-                 { write_json(response, machines.seen()); });
+                 { write_json(response, vms.listed()); });
     server.route("POST", "/vms/order", "vm_order",
                  [&](auto const& request, auto& response)
                  {
@@ -212,25 +212,25 @@
                      }
                      if (order.value("kind", "buy") == "dismiss")
                      {
-                         bool const known = machines.dismiss(order.value("id", ""));
-                         write_json(response, {{"dismissed", known}}, known ? 200 : 404);
+                         bool const found = vms.dismiss(order.value("id", ""));
+                         write_json(response, {{"dismissed", found}}, found ? 200 : 404);
                          return;
                      }
-                     write_json(response, {{"id", machines.buy(order)}});
+                     write_json(response, {{"id", vms.buy(order)}});
                  });
     server.server().Post("/control/vms",
                          [&](auto const& request, auto& response)
                          {
-                             machines.replace(json::parse(request.body, nullptr, false));
+                             vms.replace(json::parse(request.body, nullptr, false));
                              write_json(response, json::object());
                          });
     server.server().Get("/control/vms", [&](auto const&, auto& response)
-                        { write_json(response, machines.truth()); });
+                        { write_json(response, vms.current()); });
 }
 
 // 3. Usage reports
 
-void add_usage(standin_server& server)
+void add_usage_routes(standin_server& server)
 {
     server.route("POST", "/usage/([0-9]+)", "usage",
                  [](auto const&, auto& response) {
@@ -241,7 +241,7 @@
 // 4. Weight store
 
 /// Answers at most `per_second` fetches a second.
-void add_weights(standin_server& server, std::int64_t per_second)
+void add_weight_routes(standin_server& server, std::int64_t per_second)
 {
     auto second = std::make_shared<std::int64_t>(0);
     auto used = std::make_shared<std::int64_t>(0);
@@ -268,22 +268,24 @@
 
 int main(int argc, char** argv)
 {
-    auto const     settings = parse_command_line(argc, argv,
-                                                 {{"name", "platform"},
-                                                  {"host", "127.0.0.1"},
-                                                  {"port", "9000"},
-                                                  {"threads", "128"},
-                                                  {"retain_records", "1000000"},
-                                                  {"list_lag_ms", "0"},
-                                                  {"weights_per_second", "4"}},
-                                                 "Stand-in for the platform.");
-    standin_server server(settings.at("name"),
-                          static_cast<std::size_t>(number_of(settings, "threads")));
-    log_records    log(static_cast<std::size_t>(number_of(settings, "retain_records")));
-    vm_list        machines(number_of(settings, "list_lag_ms"));
-    add_log(server, log);
-    add_vms(server, machines);
-    add_usage(server);
-    add_weights(server, number_of(settings, "weights_per_second"));
-    return server.run(settings.at("host"), static_cast<int>(number_of(settings, "port")));
+    auto const      settings = parse_command_line(argc, argv,
+                                                  {{"name", "platform"},
+                                                   {"host", "127.0.0.1"},
+                                                   {"port", "9000"},
+                                                   {"threads", "128"},
+                                                   {"retain_records", "1000000"},
+                                                   {"list_lag_ms", "0"},
+                                                   {"weights_per_second", "4"}},
+                                                  "Stand-in for the platform.");
+    standin_server  server(settings.at("name"),
+                           static_cast<std::size_t>(number_setting(settings, "threads")));
+    append_only_log log(
+        static_cast<std::size_t>(number_setting(settings, "retain_records")));
+    vm_list vms(number_setting(settings, "list_lag_ms"));
+    add_log_routes(server, log);
+    add_vm_routes(server, vms);
+    add_usage_routes(server);
+    add_weight_routes(server, number_setting(settings, "weights_per_second"));
+    return server.run(settings.at("host"),
+                      static_cast<int>(number_setting(settings, "port")));
 }
--- a/standins/service_standin.cpp
+++ b/standins/service_standin.cpp
@@ -18,23 +18,23 @@
 
 // 1. Calls
 
-void add_calls(standin_server& server, std::atomic<std::int64_t>& runs)
+void add_call_routes(standin_server& server, std::atomic<std::int64_t>& runs)
 {
-    auto run = [&](httplib::Request const& request, httplib::Response& response)
+    auto handle_call = [&](httplib::Request const& request, httplib::Response& response)
     {
-        auto const number = ++runs;
+        auto const run_number = ++runs;
         if (auto const silent =
-                server.take_fault("silent", request.get_header_value("X-Sender")))
+                server.consume_fault("silent", request.get_header_value("X-Sender")))
         {
             std::this_thread::sleep_for(std::chrono::milliseconds(silent->for_ms));
         }
         write_json(response,
-                   {{"run", number}, {"path", request.path}, {"echo", request.body}});
+                   {{"run", run_number}, {"path", request.path}, {"echo", request.body}});
     };
-    server.route("GET", "/(?!control|load).*", "call", run);
-    server.route("POST", "/(?!control|cancel).*", "call", run);
-    server.route("PUT", "/.*", "call", run);
-    server.route("DELETE", "/.*", "call", run);
+    server.route("GET", "/(?!control|load).*", "call", handle_call);
+    server.route("POST", "/(?!control|cancel).*", "call", handle_call);
+    server.route("PUT", "/.*", "call", handle_call);
+    server.route("DELETE", "/.*", "call", handle_call);
 }
 
 } // namespace
@@ -50,12 +50,13 @@
                                                              {"threads", "128"}},
                                                             "Stand-in for a plain service.");
     standin_server            server(settings.at("name"),
-                                     static_cast<std::size_t>(number_of(settings, "threads")));
+                                     static_cast<std::size_t>(number_setting(settings, "threads")));
     std::atomic<std::int64_t> runs{0};
     server.route("GET", "/load", "",
                  [](auto const&, auto& response) {
                      write_json(response, {{"running", 0}, {"waiting", 0}});
                  });
-    add_calls(server, runs);
-    return server.run(settings.at("host"), static_cast<int>(number_of(settings, "port")));
+    add_call_routes(server, runs);
+    return server.run(settings.at("host"),
+                      static_cast<int>(number_setting(settings, "port")));
 }
--- a/standins/standin_server.cpp
+++ b/standins/standin_server.cpp
@@ -81,36 +81,36 @@
 }
 
 void standin_server::handle(httplib::Request const& request, httplib::Response& response,
-                            std::string const& kind, handler const& inner)
+                            std::string const& kind, handler const& next_handler)
 {
     record(request, kind);
-    if (take_fault("crash", request))
+    if (consume_fault("crash", request))
     {
         _exit(crash_exit);
     }
-    if (take_fault("outage", request))
+    if (consume_fault("outage", request))
     {
         // Nothing took effect, but the sender can't tell that from a lost answer.
-        drop_answer(response);
+        drop_response(response);
         return;
     }
-    if (auto const set = take_fault("freeze", request))
+    if (auto const active = consume_fault("freeze", request))
     {
-        sleep_ms(set->for_ms);
+        sleep_ms(active->for_ms);
     }
-    if (auto const set = take_fault("slow", request))
+    if (auto const active = consume_fault("slow", request))
     {
-        sleep_ms(set->for_ms);
+        sleep_ms(active->for_ms);
     }
-    if (take_fault("refuse", request))
+    if (consume_fault("refuse", request))
     {
         write_json(response, {{"error", "refused"}}, status_unavailable);
         return;
     }
-    inner(request, response);
-    if (take_fault("drop_answer", request))
+    next_handler(request, response);
+    if (consume_fault("drop_answer", request))
     {
-        drop_answer(response);
+        drop_response(response);
     }
 }
 
@@ -194,23 +194,23 @@
 
 // 2. Faults
 
-std::optional<fault> standin_server::take_fault(std::string const& kind,
-                                                std::string const& sender)
+std::optional<fault> standin_server::consume_fault(std::string const& kind,
+                                                   std::string const& sender)
 {
-    return take_fault(kind, sender, "", "");
+    return consume_fault(kind, sender, "", "");
 }
 
-std::optional<fault> standin_server::take_fault(std::string const&      kind,
-                                                httplib::Request const& request)
+std::optional<fault> standin_server::consume_fault(std::string const&      kind,
+                                                   httplib::Request const& request)
 {
-    return take_fault(kind, request.get_header_value("X-Sender"), request.path,
-                      request.body);
+    return consume_fault(kind, request.get_header_value("X-Sender"), request.path,
+                         request.body);
 }
 
-std::optional<fault> standin_server::take_fault(std::string const& kind,
-                                                std::string const& sender,
-                                                std::string const& path,
-                                                std::string const& body)
+std::optional<fault> standin_server::consume_fault(std::string const& kind,
+                                                   std::string const& sender,
+                                                   std::string const& path,
+                                                   std::string const& body)
 {
     std::lock_guard const lock(mutex_);
     auto const            found = faults_.find(kind);
@@ -218,31 +218,31 @@
     {
         return std::nullopt;
     }
-    auto&      set = found->second;
-    bool const over = set.count == 0 || (set.count < 0 && set.for_ms > 0 &&
-                                         steady_clock::now() >= set.until);
+    auto&      active = found->second;
+    bool const expired = active.count == 0 || (active.count < 0 && active.for_ms > 0 &&
+                                               steady_clock::now() >= active.until);
     bool const other_sender =
-        !set.from.empty() &&
-        (" " + set.from + " ").find(" " + sender + " ") == std::string::npos;
-    if (over)
+        !active.from.empty() &&
+        (" " + active.from + " ").find(" " + sender + " ") == std::string::npos;
+    if (expired)
     {
         faults_.erase(found);
         return std::nullopt;
     }
-    bool const other_request = (!set.path.empty() && set.path != path) ||
-                               body.find(set.text) == std::string::npos;
+    bool const other_request = (!active.path.empty() && active.path != path) ||
+                               body.find(active.text) == std::string::npos;
     if (other_sender || other_request)
     {
         return std::nullopt;
     }
-    if (set.count > 0)
+    if (active.count > 0)
     {
-        --set.count;
+        --active.count;
     }
-    return set;
+    return active;
 }
 
-void drop_answer(httplib::Response& response)
+void drop_response(httplib::Response& response)
 {
     response.body.clear();
     response.status = 200;
@@ -317,34 +317,35 @@
     }
 }
 
-[[noreturn]] void fail(std::string const& text)
+[[noreturn]] void exit_with_usage_error(std::string const& text)
 {
     std::cerr << text << "; see --help\n";
     std::exit(exit_usage);
 }
 
-void assign(standin_settings& settings, std::string const& key, std::string const& value)
+void assign_setting(standin_settings& settings, std::string const& key,
+                    std::string const& value)
 {
     auto const found = settings.find(key);
     if (found == settings.end())
     {
-        fail("unknown setting " + key);
+        exit_with_usage_error("unknown setting " + key);
     }
     found->second = value;
 }
 
-void read_file(standin_settings& settings, std::string const& path)
+void read_settings_file(standin_settings& settings, std::string const& path)
 {
     CSimpleIniA ini;
     if (ini.LoadFile(path.c_str()) < 0)
     {
-        fail("cannot read " + path);
+        exit_with_usage_error("cannot read " + path);
     }
     CSimpleIniA::TNamesDepend keys;
     ini.GetAllKeys("standin", keys);
     for (auto const& key : keys)
     {
-        assign(settings, key.pItem, ini.GetValue("standin", key.pItem, ""));
+        assign_setting(settings, key.pItem, ini.GetValue("standin", key.pItem, ""));
     }
 }
 } // namespace
@@ -365,11 +366,12 @@
         switch (flag)
         {
         case 's':
-            read_file(settings, argument);
+            read_settings_file(settings, argument);
             break;
         case 'k':
-            assign(settings, argument.substr(0, equals),
-                   equals == std::string::npos ? "" : argument.substr(equals + 1));
+            assign_setting(settings, argument.substr(0, equals),
+                           equals == std::string::npos ? ""
+                                                       : argument.substr(equals + 1));
             break;
         case 'h':
             print_help(defaults, description);
@@ -381,7 +383,7 @@
     return settings;
 }
 
-std::int64_t number_of(standin_settings const& settings, std::string const& key)
+std::int64_t number_setting(standin_settings const& settings, std::string const& key)
 {
     auto const&  text = settings.at(key);
     std::int64_t value = 0;
@@ -389,7 +391,7 @@
         std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size())
     {
-        fail("setting " + key + " is not a number");
+        exit_with_usage_error("setting " + key + " is not a number");
     }
     return value;
 }
--- a/standins/standin_server.hpp
+++ b/standins/standin_server.hpp
@@ -44,20 +44,21 @@
     standin_server(std::string name, std::size_t threads);
 
     /// Adds a route that is recorded under `kind` before its handler runs. The common
-    /// faults (crash, freeze, refuse, slow, outage, drop_answer) are handled here.
+    /// faults (crash, freeze, refuse, slow, outage, drop_response) are handled here.
     void route(std::string const& method, std::string const& pattern, std::string kind,
-               handler handle);
+               handler handle_request);
 
     /// Serves until SIGTERM. Prints the port on standard output once it listens.
     int run(std::string const& host, int port);
 
     /// The fault of this kind for this sender, if one is set; counts the use.
-    std::optional<fault> take_fault(std::string const& kind, std::string const& sender);
+    std::optional<fault> consume_fault(std::string const& kind,
+                                       std::string const& sender);
 
     /// The same; a fault that is set for a path or a text is taken only by requests that
     /// match.
-    std::optional<fault> take_fault(std::string const&      kind,
-                                    httplib::Request const& request);
+    std::optional<fault> consume_fault(std::string const&      kind,
+                                       httplib::Request const& request);
 
     httplib::Server& server() noexcept;
 
@@ -67,13 +68,13 @@
     std::int64_t elapsed_ms() const;
 
 private:
-    std::optional<fault> take_fault(std::string const& kind, std::string const& sender,
-                                    std::string const& path, std::string const& body);
+    std::optional<fault> consume_fault(std::string const& kind, std::string const& sender,
+                                       std::string const& path, std::string const& body);
     void                 record(httplib::Request const& request, std::string const& kind);
     void                 add_control_routes();
     void set_fault(httplib::Request const& request, httplib::Response& response);
     void handle(httplib::Request const& request, httplib::Response& response,
-                std::string const& kind, handler const& inner);
+                std::string const& kind, handler const& next_handler);
 
     std::string                           name_;
     std::chrono::steady_clock::time_point started_;
@@ -85,7 +86,7 @@
 
 /// Makes the server close the connection where an answer should stand: the request took
 /// effect, and its sender can't know.
-void drop_answer(httplib::Response& response);
+void drop_response(httplib::Response& response);
 
 void write_json(httplib::Response& response, nlohmann::json const& body,
                 int status = 200);
@@ -99,7 +100,7 @@
                                     standin_settings const& defaults,
                                     std::string const&      description);
 
-std::int64_t number_of(standin_settings const& settings, std::string const& key);
+std::int64_t number_setting(standin_settings const& settings, std::string const& key);
 
 } // namespace marigoldcrank::standins
 
