--- a/apps/marigoldcrank.cpp
+++ b/apps/marigoldcrank.cpp
@@ -1,4 +1,4 @@
-// marigoldcrank: the operators' command-line tool.
+// Entry point of marigoldcrank, the operators' command-line tool.
 //
 // Index: 1 help, 2 command line, 3 main
 #include "app/option_text.hpp"
@@ -19,12 +19,12 @@
 
 constexpr char const* common_options =
     "Options:\n"
-    "  -n, --node HOST:PORT,...   entry VMs to ask (MARIGOLDCRANK_NODES)\n"
+    "  -n, --node HOST:PORT,...   entry VMs to call (MARIGOLDCRANK_NODES)\n"
     "  -k, --operator-key KEY     operators' key (MARIGOLDCRANK_OPERATOR_KEY)\n"
-    "  -j, --json                 JSON for scripts\n"
-    "  -h, --help                 this text\n\n"
-    "Exit codes: 0 done; 1 failed; 2 wrong command line; 3 conflict with another\n"
-    "operator's change; 4 outcome not settled, run again; 5 no node answered.\n";
+    "  -j, --json                 print JSON for scripts\n"
+    "  -h, --help                 print this text\n\n"
+    "Exit codes: 0 done; 1 failed; 2 invalid command line; 3 conflict with another\n"
+    "operator's change; 4 outcome unknown, run again; 5 no node answered.\n";
 
 void print_help(operator_command const* command)
 {
@@ -90,13 +90,14 @@
         },
         [](transport_failure const& failure)
         {
-            std::cerr << "marigoldcrank: " << failure.peer << ": "
-                      << name_of(failure.fault) << "\n";
+            std::cerr << "marigoldcrank: " << failure.peer
+                      << ": request failed: " << name_of(failure.fault) << "\n";
             return static_cast<int>(failure.status != 0 ? exit_failed : exit_unreachable);
         },
         []
         {
-            std::cerr << "marigoldcrank: the answer could not be read\n";
+            std::cerr << "marigoldcrank: a node's response or an input file could not be "
+                         "parsed\n";
             return static_cast<int>(exit_failed);
         });
 }
@@ -145,7 +146,7 @@
     }
     if (command == nullptr)
     {
-        std::cerr << "marigoldcrank: unknown or missing subcommand; see --help\n";
+        std::cerr << "marigoldcrank: the subcommand is missing or unknown; see --help\n";
         return exit_usage;
     }
     context.arguments.assign(argv + optind + 1, argv + argc);
--- a/apps/marigoldcrankd.cpp
+++ b/apps/marigoldcrankd.cpp
@@ -1,4 +1,4 @@
-// marigoldcrankd: the daemon, the same on every entry VM.
+// Entry point of marigoldcrankd, the daemon that runs on every entry VM.
 //
 // Index: 1 command line, 2 signals, 3 main
 #include "adapters/logging.hpp"
@@ -30,7 +30,7 @@
 struct command_line
 {
     std::string settings_file;
-    std::string entry_file; // settings of an entry VM on the users' platform
+    std::string entry_file; // settings for the users' platform, instead of settings_file
     bool        check_only = false;
     bool        print_settings = false;
 };
@@ -41,13 +41,13 @@
         << "Usage: marigoldcrankd --settings FILE [--check-settings]\n"
            "       marigoldcrankd --entry FILE [--check-settings]\n\n"
            "Serves callers on one entry VM until SIGTERM, which drains it.\n\n"
-           "  -s, --settings FILE    settings in INI form\n"
-           "  -e, --entry FILE       settings of an entry VM on the users' platform\n"
-           "  -c, --check-settings   check FILE, print what is wrong, exit 0 or 1\n"
+           "  -s, --settings FILE    read the settings from this INI file\n"
+           "  -e, --entry FILE       the same for an entry VM on the users' platform\n"
+           "  -c, --check-settings   check FILE, print any error, exit 0 or 1\n"
            "  -p, --print-settings   print all settings with their meaning and exit\n"
-           "  -h, --help             this text\n\n"
-           "Exit codes: 0 drained or checked; 1 failed, or stopped before it had "
-           "drained;\n            2 wrong command line.\n";
+           "  -h, --help             print this text\n\n"
+           "Exit codes: 0 drained, or FILE is valid; 1 failed, or stopped before it had "
+           "drained;\n            2 invalid command line.\n";
 }
 
 std::optional<command_line> parse_command_line(int argc, char** argv, int& exit_code)
@@ -89,7 +89,7 @@
     if (no_file && !result.print_settings)
     {
         std::cerr
-            << "marigoldcrankd: --settings or --entry FILE is missing; see --help\n";
+            << "marigoldcrankd: needs --settings FILE or --entry FILE; see --help\n";
         return std::nullopt;
     }
     return result;
@@ -97,7 +97,7 @@
 
 // 2. Signals
 
-/// Waits for SIGTERM or SIGINT, or an operator's order to drain.
+/// Blocks until SIGTERM or SIGINT arrives or an operator requests a drain.
 void wait_for_stop(node const& daemon, sigset_t const& signals)
 {
     timespec const poll_interval{0, 100'000'000};
@@ -177,7 +177,7 @@
         },
         []
         {
-            std::cerr << "marigoldcrankd: failed\n";
+            std::cerr << "marigoldcrankd: failed with an unexpected error\n";
             return exit_failure;
         });
 }
--- a/apps/operator_client.cpp
+++ b/apps/operator_client.cpp
@@ -1,4 +1,4 @@
-// The operators' side of a daemon's /admin routes.
+// Sends HTTP requests to the daemons' /admin routes.
 #include "operator_client.hpp"
 
 #include "adapters/http_exchange.hpp"
@@ -41,7 +41,7 @@
     auto parsed = nlohmann::json::parse(response->body, nullptr, false);
     if (parsed.is_discarded())
     {
-        return leaf::new_error(message_failure{"answer of " + node, "not JSON"});
+        return leaf::new_error(message_failure{"response of " + node, "not JSON"});
     }
     return parsed;
 }
@@ -63,7 +63,8 @@
     if (options_.nodes.empty())
     {
         return leaf::new_error(
-            transport_failure{transport_fault::not_connected, "no node", 0});
+            transport_failure{transport_fault::not_connected,
+                              "no node given by --node or MARIGOLDCRANK_NODES", 0});
     }
     return send_request(options_.nodes.back(), method, path, body);
 }
--- a/apps/operator_client.hpp
+++ b/apps/operator_client.hpp
@@ -1,4 +1,4 @@
-// The operators' side of a daemon's /admin routes.
+// HTTP client for the daemons' /admin routes, which take operators' commands.
 //
 // Index: 1 client_options, 2 operator_client
 #ifndef MARIGOLDCRANK_APPS_OPERATOR_CLIENT_HPP
@@ -17,23 +17,26 @@
 /// Options that all subcommands share.
 struct client_options
 {
-    std::vector<std::string> nodes;        // host:port; the first that answers is used
+    std::vector<std::string> nodes;        // host:port of entry VMs, in the order of use
     std::string              operator_key; // sent as a bearer token
-    bool                     json = false; // print JSON for scripts
+    bool                     json = false; // print JSON instead of text
 };
 
-/// Asks daemons in the order of the options.
+/// Sends requests to the nodes of the options, in their order. Each has 2 s to accept the
+/// connection and 10 s to answer.
 class operator_client
 {
 public:
     explicit operator_client(client_options options);
 
-    /// From the first node that answers. Fails with transport_failure.
+    /// Returns the JSON that the first node sends which answers with 200. If none does,
+    /// the error of the last node is returned: transport_failure, or message_failure if
+    /// the response is not JSON.
     leaf::result<nlohmann::json> get(std::string const& path) const;
     leaf::result<nlohmann::json> post(std::string const&    path,
                                       nlohmann::json const& body) const;
 
-    /// From every node that answers.
+    /// Returns the JSON of every node that answers with 200; the others are left out.
     std::vector<nlohmann::json> get_from_all(std::string const& path) const;
 
 private:
--- a/apps/operator_commands.cpp
+++ b/apps/operator_commands.cpp
@@ -1,4 +1,4 @@
-// The subcommands of marigoldcrank.
+// Implements the subcommands of marigoldcrank, except `targets` and `report`.
 //
 // Index: 1 rules (check, diff, apply), 2 keys, 3 views, 4 table
 #include "operator_commands.hpp"
@@ -33,7 +33,7 @@
 {
     if (context.arguments.size() != 1)
     {
-        return usage_error("check takes one FILE");
+        return usage_error("check needs exactly one FILE");
     }
     auto const& file = context.arguments[0];
     BOOST_LEAF_AUTO(text, read_file(file));
@@ -57,7 +57,8 @@
     return lines;
 }
 
-/// Lines only in one of the two texts, as `- old` and `+ new`.
+/// Returns the lines that only one of the two texts contains, as `- old` and `+ new`. The
+/// order of lines is not compared.
 json changed_lines(std::string const& before, std::string const& after)
 {
     auto const old_lines = split_lines(before);
@@ -92,7 +93,7 @@
 {
     if (context.arguments.size() != 1)
     {
-        return usage_error("diff takes one FILE");
+        return usage_error("diff needs exactly one FILE");
     }
     BOOST_LEAF_AUTO(text, read_file(context.arguments[0]));
     BOOST_LEAF_CHECK(parse_rules(text, context.arguments[0]));
@@ -123,7 +124,8 @@
     return user != nullptr ? user : "operator";
 }
 
-/// A lost answer is settled by sending the same change again: the log knows its id.
+/// Posts a change, up to three times while its outcome is unknown. Repeating it is safe:
+/// the log recognises a change by its change_id and takes it once.
 leaf::result<json> send_change(operator_client const& client, json const& change)
 {
     constexpr int max_attempts = 3;
@@ -144,7 +146,7 @@
 {
     if (context.arguments.size() != 1)
     {
-        return usage_error("apply takes one FILE");
+        return usage_error("apply needs exactly one FILE");
     }
     BOOST_LEAF_AUTO(text, read_file(context.arguments[0]));
     BOOST_LEAF_CHECK(parse_rules(text, context.arguments[0]));
@@ -187,7 +189,7 @@
     bool const compromised = context.arguments.size() > 2;
     if (compromised && context.arguments[2] != "compromised")
     {
-        return usage_error("keys withdraw ID [compromised]");
+        return usage_error("expected: keys withdraw ID [compromised]");
     }
     operator_client const client(context.options);
     BOOST_LEAF_AUTO(response,
@@ -224,7 +226,8 @@
     {
         return create_operator_key(context);
     }
-    return usage_error("keys create ID WORKSPACE | withdraw ID [compromised] | operator");
+    return usage_error(
+        "expected: keys create ID WORKSPACE | withdraw ID [compromised] | operator");
 }
 
 // 3. Views
@@ -265,7 +268,7 @@
 {
     if (context.arguments.size() != 1)
     {
-        return usage_error("explain takes one request or trace ID");
+        return usage_error("explain needs exactly one request or trace ID");
     }
     operator_client const client(context.options);
     json                  spans = json::array();
@@ -337,15 +340,17 @@
     return exit_ok;
 }
 
-/// A lost answer is settled by saying it again: a drain names the state wanted.
+/// Requests that servers are drained or take work again. After a lost response the
+/// operator can repeat the command, because the request names the wanted state.
 leaf::result<int> drain_servers(command_context const& context, bool drained)
 {
     auto const& arguments = context.arguments;
     if (arguments.size() != 2 ||
         (arguments[0] != "server" && arguments[0] != "data_centre"))
     {
-        return usage_error("drain [server ID | data_centre NAME], undrain server ID | "
-                           "data_centre NAME");
+        return usage_error(
+            "expected: drain [server ID | data_centre NAME] or undrain server ID | "
+            "data_centre NAME");
     }
     operator_client const client(context.options);
     BOOST_LEAF_AUTO(response,
@@ -378,22 +383,30 @@
 // 4. Table
 
 constexpr std::array commands{
-    operator_command{"check", "FILE", "check a rules file; changes nothing", check},
-    operator_command{"diff", "FILE", "show what FILE would change", diff},
-    operator_command{"apply", "FILE", "put a rules file in force", apply},
+    operator_command{"check", "FILE", "check a rules file without applying it", check},
+    operator_command{"diff", "FILE", "compare FILE with the rules in force", diff},
+    operator_command{"apply", "FILE", "replace the rules in force by FILE", apply},
     operator_command{"keys", "create ID WORKSPACE | withdraw ID [compromised] | operator",
-                     "make or withdraw keys", keys},
-    operator_command{"status", "", "nodes, duties and backend servers", status},
-    operator_command{"explain", "ID", "the decisions about one request", explain},
-    operator_command{"usage", "", "sealed usage windows", usage},
-    operator_command{"targets", "[SPANS RULES]",
-                     "each target held or missed; recomputed if files are given",
-                     show_targets},
-    operator_command{"report", "SERIES OUT", "an HTML page of a replay's series",
-                     write_report},
-    operator_command{"history", "", "the chain of changes of the rules", history},
+                     "create or withdraw an API key, or create the operators' key", keys},
+    operator_command{"status", "",
+                     "show each node with its rules revision, peers and backend servers",
+                     status},
+    operator_command{"explain", "ID",
+                     "show the recorded decisions about the request or trace ID",
+                     explain},
+    operator_command{"usage", "",
+                     "show the usage in sealed windows by workspace and model", usage},
+    operator_command{
+        "targets", "[SPANS RULES]",
+        "show whether each target was held or missed; with files, compute it from them",
+        show_targets},
+    operator_command{"report", "SERIES OUT",
+                     "write the series of a replay to OUT as an HTML page", write_report},
+    operator_command{"history", "",
+                     "list the changes of the rules, also those in conflict", history},
     operator_command{"drain", "[server ID | data_centre NAME]",
-                     "drain servers on all nodes, or the first node given by --node",
+                     "drain servers on all nodes; without arguments, drain the first "
+                     "node that answers",
                      drain},
     operator_command{"undrain", "server ID | data_centre NAME",
                      "let drained servers take work again", undrain}};
--- a/apps/operator_commands.hpp
+++ b/apps/operator_commands.hpp
@@ -1,4 +1,4 @@
-// The subcommands of marigoldcrank.
+// Table of the subcommands of marigoldcrank and the exit codes they share.
 //
 // Index: 1 exit codes, 2 command_context, 3 operator_command, 4 table
 #ifndef MARIGOLDCRANK_APPS_OPERATOR_COMMANDS_HPP
@@ -13,25 +13,25 @@
 namespace marigoldcrank
 {
 
-/// What scripts can rely on.
+/// Exit codes of the process, stable for scripts.
 enum exit_code : int
 {
     exit_ok = 0,         // done
     exit_failed = 1,     // a check failed, or the daemon refused
-    exit_usage = 2,      // wrong command line
+    exit_usage = 2,      // invalid command line
     exit_conflict = 3,   // another operator's change came first
-    exit_unknown = 4,    // the outcome could not be settled; run the command again
+    exit_unknown = 4,    // the outcome is unknown; run the command again
     exit_unreachable = 5 // no node answered
 };
 
-/// What a subcommand gets.
+/// Input of a subcommand.
 struct command_context
 {
     client_options           options;
-    std::vector<std::string> arguments; // behind the subcommand's name
+    std::vector<std::string> arguments; // those after the subcommand's name
 };
 
-/// One row of the table of subcommands.
+/// One subcommand with its help texts.
 struct operator_command
 {
     char const* name;
--- a/apps/operator_output.cpp
+++ b/apps/operator_output.cpp
@@ -1,4 +1,4 @@
-// What all subcommands print and read.
+// Output and file input that the subcommands share.
 #include "operator_output.hpp"
 
 #include <fstream>
--- a/apps/operator_output.hpp
+++ b/apps/operator_output.hpp
@@ -1,6 +1,6 @@
-// What all subcommands print and read.
+// Output and file input that the subcommands share.
 //
-// Index: print, usage_error, read_file
+// Index: print_result, usage_error, read_file
 #ifndef MARIGOLDCRANK_APPS_OPERATOR_OUTPUT_HPP
 #define MARIGOLDCRANK_APPS_OPERATOR_OUTPUT_HPP
 
@@ -11,14 +11,14 @@
 namespace marigoldcrank
 {
 
-/// Prints JSON for scripts or the text for a person, as the options ask.
+/// Prints `value` as JSON with the option --json, else `text`, and a line end.
 void print_result(command_context const& context, nlohmann::json const& value,
                   std::string const& text);
 
-/// Tells what is wrong with the command line; the exit code for it.
+/// Prints an error in the command line to standard error and returns exit_usage.
 int usage_error(std::string const& text);
 
-/// The whole file. Fails with rules_failure.
+/// Returns the content of the file. Fails with rules_failure if it cannot be opened.
 leaf::result<std::string> read_file(std::string const& path);
 
 } // namespace marigoldcrank
--- a/apps/operator_reports.cpp
+++ b/apps/operator_reports.cpp
@@ -1,6 +1,6 @@
-// Subcommands that judge and show.
+// Implements the subcommands `targets` and `report`.
 //
-// Index: 1 targets of nodes, 2 targets recomputed, 3 report
+// Index: 1 targets of all nodes, 2 targets computed from files, 3 report
 #include "operator_reports.hpp"
 
 #include "app/report_page.hpp"
@@ -49,9 +49,10 @@
     return exit_ok;
 }
 
-// 1. Targets of nodes
+// 1. Targets of all nodes
 
-/// Each node judges its own calls; the sums are the verdict.
+/// Adds the verdict of one node to the total. Each node evaluates only its own calls, so
+/// the counts are summed and the state is evaluated again.
 void merge_verdict(json& total, json const& part)
 {
     total["calls"] = total.value("calls", 0) + part.value("calls", 0);
@@ -90,13 +91,14 @@
     return responses.empty() ? exit_unreachable : print_verdicts(context, verdicts);
 }
 
-// 2. Targets recomputed
+// 2. Targets computed from files
 
 std::int64_t parse_number(std::string const& text)
 {
     return std::strtoll(text.c_str(), nullptr, 10);
 }
 
+/// Adds the call of a span `finish` to the samples; other spans are ignored.
 void append_sample(json const& span, std::vector<target_sample>& samples)
 {
     if (span.value("name", "") != "finish")
@@ -116,6 +118,8 @@
                        parse_number(attributes["marigoldcrank.between_tokens_ms"])});
 }
 
+/// Reads a file of spans, one OTLP JSON document a line; lines that are no JSON object
+/// are ignored.
 std::vector<target_sample> parse_samples(std::string const& text)
 {
     std::vector<target_sample> samples;
@@ -170,7 +174,8 @@
     }
     if (context.arguments.size() != 2)
     {
-        std::cerr << "marigoldcrank: targets takes nothing, or SPANS and RULES\n";
+        std::cerr << "marigoldcrank: targets takes no arguments, or SPANS and RULES; see "
+                     "--help\n";
         return exit_usage;
     }
     return recompute_targets(context);
@@ -182,7 +187,7 @@
 {
     if (context.arguments.size() != 2)
     {
-        std::cerr << "marigoldcrank: report takes SERIES and OUT\n";
+        std::cerr << "marigoldcrank: report needs SERIES and OUT; see --help\n";
         return exit_usage;
     }
     BOOST_LEAF_AUTO(text, read_file(context.arguments[0]));
--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -1,4 +1,4 @@
-// What the engine's stand-in computes.
+// Model of an engine for its stand-in.
 //
 // Index: 1 tokens, 2 prefix_cache, 3 applied_orders, 4 batch_slots
 #include "engine_model.hpp"
@@ -27,7 +27,7 @@
 
 namespace
 {
-constexpr std::size_t  block_bytes = 256; // prefixes are cut at whole blocks
+constexpr std::size_t  block_bytes = 256; // prefixes end at multiples of this
 constexpr std::int64_t bytes_per_token = 4;
 constexpr std::size_t  max_events = 10'000;
 
@@ -151,7 +151,7 @@
         return status_old_fence;
     }
     highest_fence_ = std::max(highest_fence_, fence);
-    // An order names the state wanted, so a repeated one changes nothing.
+    // An order with a known id has been applied already: a repeated order succeeds.
     if (!applied_ids_.insert(order.value("id", "")).second)
     {
         return status_ok;
--- a/standins/engine_model.hpp
+++ b/standins/engine_model.hpp
@@ -1,4 +1,4 @@
-// What the engine's stand-in computes: tokens, batch, prefix cache, role, orders.
+// Model of an engine for its stand-in: tokens, prefix cache, role and batch.
 //
 // Index: 1 engine_options, 2 prefix_cache, 3 applied_orders, 4 batch_slots
 #ifndef MARIGOLDCRANK_STANDINS_ENGINE_MODEL_HPP
@@ -18,35 +18,37 @@
 namespace marigoldcrank::standins
 {
 
-/// Options of an engine.
+/// Speed, capacity and delays of the simulated engine.
 struct engine_options
 {
-    std::int64_t prefill_per_s = 20000; // 20000  prompt tokens a second
-    std::int64_t decode_us = 2000; // 2000   between tokens of one stream, microseconds
-    std::int64_t batch = 64;       // 64     streams at once; more wait by priority
-    std::int64_t cache_tokens = 200000; // 200000 prompt tokens kept for prefix hits
-    std::int64_t load_lag_ms = 100;     // 100    age of a load report
-    std::int64_t event_lag_ms = 300;    // 300    age at which cache events appear
-    std::int64_t event_gap = 0; // 0      every n-th cache event is lost; 0 for none
-    std::int64_t role_change_ms = 2000; // 2000   without service during a role change
-    bool checks_fencing = true; // yes    refuses orders with an old fencing number
+    std::int64_t prefill_per_s = 20000; // 20000  prompt tokens computed a second
+    std::int64_t decode_us = 2000;      // 2000   us between tokens of one stream
+    std::int64_t batch = 64;            // 64     streams at once; others wait by priority
+    std::int64_t cache_tokens = 200000; // 200000 prompt tokens the prefix cache holds
+    std::int64_t load_lag_ms = 100;     // 100    ms between updates of the load report
+    std::int64_t event_lag_ms = 300;    // 300    ms until a cache event can be read
+    std::int64_t event_gap = 0;         // 0      every n-th cache event is lost; 0: none
+    std::int64_t role_change_ms = 2000; // 2000   ms; calls get 503 during a role change
+    bool         checks_fencing = true; // yes    refuses orders with an old fencing token
 };
 
-/// Token `index` of the answer to a prompt: the same on every engine, so that another can
-/// resume the answer.
+/// Returns token `index` of the response to a prompt. It depends on nothing else, so that
+/// another engine can resume the response.
 std::string token_of(std::uint64_t prompt_hash, std::uint64_t index);
 
-/// Recently used prefixes by hash, limited by their tokens; publishes late, gappy events.
+/// LRU cache of prompt prefixes by hash, limited by their tokens. It records an event for
+/// each stored or evicted prefix, which can be read late or get lost, as the options say.
 class prefix_cache
 {
 public:
     prefix_cache(std::int64_t capacity, std::int64_t event_lag_ms,
                  std::int64_t event_gap);
 
-    /// Prompt tokens that need not be computed; the prompt is kept afterwards.
+    /// Returns how many tokens at the start of the prompt are cached, then stores all its
+    /// prefixes.
     std::int64_t lookup_and_store(std::string const& prompt, std::int64_t now_ms);
 
-    /// Events with sequence >= from that are old enough to be seen.
+    /// Returns the events with sequence >= from that are at least event_lag_ms old.
     nlohmann::json events(std::uint64_t from, std::int64_t now_ms);
 
     bool contains(std::string const& prefix_hash);
@@ -81,13 +83,15 @@
     std::list<event>                                  events_;
 };
 
-/// Role, models and adapters as ordered; refuses old fencing numbers if it checks them.
+/// Role, models and adapters that orders have set. Refuses an order whose fencing token
+/// is lower than the highest received, unless checks_fencing is false.
 class applied_orders
 {
 public:
     explicit applied_orders(bool checks_fencing);
 
-    /// Applies an order {id, fence, kind, value}; returns the HTTP status.
+    /// Applies an order {id, fence, kind, value} and returns the HTTP status: 200, 400 if
+    /// it is malformed, 409 if it is refused. A change of role takes role_change_ms.
     int apply(nlohmann::json const& order, std::int64_t now_ms,
               std::int64_t role_change_ms);
 
@@ -105,23 +109,30 @@
     std::set<std::string>              applied_ids_;
 };
 
-/// Places in the batch, given by priority (lower first), then by arrival.
+/// Slots of the batch, assigned by priority (lower first), then by arrival.
 class batch_slots
 {
 public:
     explicit batch_slots(std::int64_t batch);
 
-    /// Waits for a place. False if the request was cancelled meanwhile.
+    /// Blocks until the request has a slot. Returns false if it was cancelled meanwhile.
     bool acquire(std::string const& request_id, std::int64_t priority,
                  std::int64_t prompt_tokens);
+
+    /// Subtracts a prompt from the prefill tokens that load() reports.
     void finish_prefill(std::int64_t prompt_tokens);
+
+    /// Frees the slot of a request that has ended.
     void release(std::string const& request_id);
+
+    /// Ends a waiting or running request; other ids are ignored.
     void cancel(std::string const& request_id);
     bool is_cancelled(std::string const& request_id);
 
-    /// Cuts everything that runs, as a restart would.
+    /// Cancels all waiting and running requests, as a restart would.
     void cancel_all();
 
+    /// Returns the counts of running and waiting requests and their prefill tokens.
     nlohmann::json load();
 
 private:
--- a/standins/engine_standin.cpp
+++ b/standins/engine_standin.cpp
@@ -1,16 +1,27 @@
-// Stand-in for an engine: streams tokens, batches, caches prefixes, takes orders.
+// Stand-in for an engine: streams generated tokens in a batch with a prefix cache, and
+// takes orders for its role and models.
 //
 // Index: 1 engine, 2 streams, 3 other routes, 4 main
 //
-// Faults besides the common ones: `truncate` ends a stream early without its end marker;
-// `crossed` sends a stream under another request's id, `crossed_middle` mixes another
-// request's events in; `stale` mixes in events of an earlier attempt; `doubled` sends
-// each event twice; `reordered` swaps neighbours; `late` delays a stream's first token;
-// `silent` stops a stream in the middle and keeps the connection open; `junk` does so and
-// trickles bytes that are no token; `malformed` sends an event with fields of wrong
-// types; `crash_stream` and `crash_middle` end the process at the first token or in the
-// middle of a stream. `leaving` makes the load reports say that this
-// engine will go away. The setting poison is the request that crashes every engine.
+// Faults besides the common ones:
+//   truncate        ends a stream in its middle without the end marker
+//   crossed         sends a stream under the request id of another request
+//   crossed_middle  sends an event of another request before each token
+//   stale           sends an event of an earlier attempt before each token
+//   doubled         sends the event of each token twice
+//   reordered       swaps neighbouring events
+//   malformed       sends an event with fields of wrong types before each token
+//   late            delays the first token of a stream by for_ms
+//   slow_decode     multiplies the time between tokens by for_ms, which is a factor here
+//   silent          sends nothing for for_ms in the middle of a stream, then ends it
+//   without
+//                   the end marker
+//   junk            like silent, but sends events that hold no token meanwhile
+//   crash_stream    ends the process before the next token of a stream
+//   crash_middle    ends the process in the middle of a stream
+//   leaving         makes the load report say that this engine will go away
+// A prompt that contains the text of the setting `poison` ends the process, so a request
+// with it crashes every engine that has the same setting.
 #include "engine_model.hpp"
 #include "standin_server.hpp"
 
@@ -45,17 +56,17 @@
 
     engine_options  options;
     standin_server& server;
-    std::string     poison; // a prompt with this text crashes the process
+    std::string     poison; // a prompt with this text ends the process; "" for none
     prefix_cache    cache;
     applied_orders  orders;
     batch_slots     slots;
     std::mutex      mutex;
-    json            generated = json::array(); // what was generated for whom, for audits
+    json            generated = json::array(); // ended streams, which audits read
     json            reported_load = json::object();
     std::int64_t    reported_at_ms = -1'000'000;
 };
 
-/// One stream, from its request's headers and body.
+/// One stream to generate, as the headers and the body of its request describe it.
 struct stream_job
 {
     std::string   request_id;
@@ -64,7 +75,7 @@
     std::uint64_t attempt = 1;
     std::uint64_t resume_from = 0;
     std::string   prompt;
-    std::uint64_t tokens = 0; // length of the whole answer
+    std::uint64_t tokens = 0; // of the complete response, with those before resume_from
     std::int64_t  priority = 0;
 };
 
@@ -129,7 +140,7 @@
            "\n\n";
 }
 
-/// Faults of one stream, taken once at its start.
+/// Faults of one stream, consumed once when it starts.
 struct stream_faults
 {
     stream_faults(standin_server& server, std::string const& sender)
@@ -158,7 +169,7 @@
     std::optional<fault> crash_middle;
 };
 
-/// Events that belong to the token, with what the faults add around it.
+/// Returns the event of a token together with the events that the faults add.
 std::string events_with_faults(stream_faults const& faults, stream_job const& job,
                                std::uint64_t sequence, std::string const& token)
 {
@@ -184,7 +195,7 @@
     return text;
 }
 
-/// Sends bytes that are no token until for_ms have passed or the other side left.
+/// Sends events without a token until for_ms have passed or the client has disconnected.
 void send_junk_events(httplib::DataSink& sink, std::int64_t for_ms)
 {
     constexpr std::int64_t interval_ms = 20;
@@ -199,7 +210,8 @@
     }
 }
 
-/// The fault of a stream's middle; true if the stream ends there.
+/// Applies the faults that occur in the middle of a stream. Returns true if the stream
+/// ends there.
 bool apply_midstream_fault(stream_faults const& faults, httplib::DataSink& sink)
 {
     if (faults.crash_middle)
@@ -217,7 +229,7 @@
     return faults.truncate || faults.silent || faults.junk;
 }
 
-/// Sends the stream; returns how many tokens it generated.
+/// Sends the tokens from resume_from on; returns how many were generated.
 std::uint64_t send_stream(engine& self, stream_job const& job, std::string const& key,
                           std::int64_t prompt_tokens, httplib::DataSink& sink)
 {
@@ -395,8 +407,8 @@
                               self.orders.apply(order, now, self.options.role_change_ms);
                           if (self.orders.role() != before)
                           {
-                              // A change of role restarts the engine's batch: whoever did
-                              // not drain it first sees streams that end in the middle.
+                              // A change of role restarts the batch: streams end in the
+                              // middle unless the engine was drained first.
                               self.slots.cancel_all();
                           }
                           write_json(response, self.orders.state(now), status);
--- a/standins/platform_standin.cpp
+++ b/standins/platform_standin.cpp
@@ -1,9 +1,9 @@
-// Stand-in for the platform: log, VM orders, VM list, usage reports, weight store.
+// Stand-in for the platform: log, VM list, VM orders, usage reports, weight store.
 //
 // Index: 1 log, 2 VM list and orders, 3 usage reports, 4 weight store, 5 main
 //
-// Faults besides the common ones: `late` makes an append take effect for_ms after its
-// answer was lost; `from` limits any fault to one sender, which cuts that sender off.
+// Faults besides the common ones: `late` closes the connection of an append without a
+// response and applies the append after for_ms. A fault with `from` isolates that sender.
 #include "standin_server.hpp"
 
 #include <condition_variable>
@@ -28,7 +28,7 @@
 
 // 1. Log
 
-/// Append-only records with offsets from 1; the oldest expire beyond `retain`.
+/// Append-only log with offsets from 1. Keeps the newest `retain` records.
 class append_only_log
 {
 public:
@@ -47,6 +47,8 @@
         return first_offset_ + records_.size() - 1;
     }
 
+    /// Returns records from offset `from` on; waits up to wait_ms for the first. Sets the
+    /// status to 410 if `from` has expired.
     json read(std::uint64_t from, std::int64_t wait_ms, int& status)
     {
         std::unique_lock lock(mutex_);
@@ -67,7 +69,7 @@
         return {{"first_retained", first_offset_}, {"first", from}, {"records", records}};
     }
 
-    /// Lets records below `offset` expire.
+    /// Removes the records below `offset`.
     void expire(std::uint64_t offset)
     {
         std::lock_guard const lock(mutex_);
@@ -128,7 +130,8 @@
 
 // 2. VM list and orders
 
-/// The list as callers see it lags behind the truth by lag_ms.
+/// The VMs of the platform. A change shows in listed() only once no other has been made
+/// for lag_ms; current() returns the actual state.
 class vm_list
 {
 public:
@@ -157,7 +160,8 @@
         return vms_;
     }
 
-    /// Orders are not idempotent: two orders buy two machines.
+    /// Adds a VM and returns its id. Orders are not idempotent: a repeated order adds
+    /// another.
     std::string buy(json const& order)
     {
         std::lock_guard const lock(mutex_);
@@ -240,7 +244,7 @@
 
 // 4. Weight store
 
-/// Answers at most `per_second` fetches a second.
+/// Serves at most `per_second` fetches in each second; the others get 429.
 void add_weight_routes(standin_server& server, std::int64_t per_second)
 {
     auto second = std::make_shared<std::int64_t>(0);
--- a/standins/service_standin.cpp
+++ b/standins/service_standin.cpp
@@ -1,11 +1,10 @@
-// Stand-in for a plain service, such as ordering: each call that arrives runs.
+// Stand-in for a plain service, such as ordering: it executes each call that arrives.
 //
 // Index: 1 calls, 2 main
 //
-// It does not know Idempotency-Key and runs a repeated call again, so that a doubled
-// order shows as two entries in /control/received with kind "call". Faults besides the
-// common ones: `silent` runs the call and then keeps the connection open without an
-// answer.
+// It ignores Idempotency-Key and executes a repeated call again, so that a call sent
+// twice shows as two entries of kind "call" in /control/received. Faults besides the
+// common ones: `silent` executes the call and delays the response by for_ms.
 #include "standin_server.hpp"
 
 #include <atomic>
--- a/standins/standin_server.cpp
+++ b/standins/standin_server.cpp
@@ -1,4 +1,4 @@
-// What all stand-ins share.
+// HTTP server, fault injection and command line of the stand-ins.
 //
 // Index: 1 routes, 2 faults, 3 control endpoint, 4 command line
 #define SI_NO_CONVERSION
@@ -90,7 +90,7 @@
     }
     if (consume_fault("outage", request))
     {
-        // Nothing took effect, but the sender can't tell that from a lost answer.
+        // The request takes no effect, but to its sender this looks like a lost response.
         drop_response(response);
         return;
     }
@@ -156,7 +156,7 @@
     }
     if (port < 0)
     {
-        std::cerr << name_ << ": cannot bind\n";
+        std::cerr << name_ << ": cannot bind the configured host and port\n";
         return 1;
     }
     std::cout << name_ << " listens on " << host << ":" << port << std::endl;
@@ -166,7 +166,7 @@
             int received = 0;
             sigwait(&signals, &received);
             server_.stop();
-            // Handlers that a fault holds asleep must not outlive a stop.
+            // Exits after 200 ms even if handlers still sleep for a fault.
             sleep_ms(200);
             _exit(0);
         });
@@ -310,7 +310,7 @@
     std::cout << description << "\n\n"
               << "  --settings FILE   INI file with a section [standin]\n"
               << "  --set KEY=VALUE   one setting, after the file\n"
-              << "  --help            this text\n\nSettings and their defaults:\n";
+              << "  --help            print this text\n\nSettings and their defaults:\n";
     for (auto const& [key, value] : defaults)
     {
         std::cout << "  " << key << " = " << value << "\n";
@@ -339,7 +339,7 @@
     CSimpleIniA ini;
     if (ini.LoadFile(path.c_str()) < 0)
     {
-        exit_with_usage_error("cannot read " + path);
+        exit_with_usage_error("cannot read the settings file " + path);
     }
     CSimpleIniA::TNamesDepend keys;
     ini.GetAllKeys("standin", keys);
@@ -391,7 +391,7 @@
         std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size())
     {
-        exit_with_usage_error("setting " + key + " is not a number");
+        exit_with_usage_error("setting " + key + " is not an integer");
     }
     return value;
 }
--- a/standins/standin_server.hpp
+++ b/standins/standin_server.hpp
@@ -1,10 +1,10 @@
-// What all stand-ins share: an HTTP server that records what it is asked and takes
+// HTTP server that all stand-ins share: it records the requests it receives and injects
 // faults.
 //
 // Index: 1 received_request, 2 fault, 3 standin_server, 4 command line
 //
-// Tests read the truth from /control/received here, at the receiving end, and never from
-// the system's own logs.
+// Tests read what was received from /control/received here, at the receiving end, not
+// from the logs of the system under test.
 #ifndef MARIGOLDCRANK_STANDINS_STANDIN_SERVER_HPP
 #define MARIGOLDCRANK_STANDINS_STANDIN_SERVER_HPP
 
@@ -23,19 +23,19 @@
 namespace marigoldcrank::standins
 {
 
-/// A fault set at /control/fault.
+/// A fault set at /control/fault. There is at most one of each kind.
 struct fault
 {
-    std::string                           kind;       // "none"  see DESIGN.md
-    std::int64_t                          count = -1; // -1      uses left; -1 without end
+    std::string                           kind;       // ""      name; "none" clears all
+    std::int64_t                          count = -1; // -1      uses left; -1: no limit
     std::int64_t                          for_ms = 0; // 0       delay or duration, ms
-    std::string                           from;    // ""      only this sender; "" for all
-    std::string                           path;    // ""      only this path; "" for all
-    std::string                           text;    // ""      only bodies that contain it
-    std::chrono::steady_clock::time_point until{}; //         end of a fault with for_ms
+    std::string                           from; // ""      only these senders; "" for all
+    std::string                           path; // ""      only this path; "" for all
+    std::string                           text; // ""      only bodies that contain it
+    std::chrono::steady_clock::time_point until{}; //         end if for_ms > 0, count < 0
 };
 
-/// Server, recorder and faults. Safe to use from several threads.
+/// Serves routes, records requests and injects faults. Safe to use from several threads.
 class standin_server
 {
 public:
@@ -43,20 +43,24 @@
 
     standin_server(std::string name, std::size_t threads);
 
-    /// Adds a route that is recorded under `kind` before its handler runs. The common
-    /// faults (crash, freeze, refuse, slow, outage, drop_response) are handled here.
+    /// Adds a route. Its requests are recorded under `kind`, unless that is empty, before
+    /// the handler runs. The common faults apply to each route, in this order: crash ends
+    /// the process, outage closes the connection before the handler runs, freeze and slow
+    /// wait for for_ms, refuse responds 503, drop_answer runs the handler and closes the
+    /// connection without a response.
     void route(std::string const& method, std::string const& pattern, std::string kind,
                handler handle_request);
 
-    /// Serves until SIGTERM. Prints the port on standard output once it listens.
+    /// Serves until SIGTERM or SIGINT; port 0 takes a free port. Prints the host and port
+    /// on standard output once it listens. Returns 1 if it cannot bind them.
     int run(std::string const& host, int port);
 
-    /// The fault of this kind for this sender, if one is set; counts the use.
+    /// Returns the fault of this kind if one is set for this sender, and counts the use.
+    /// A fault that is set for a path or a text is not returned.
     std::optional<fault> consume_fault(std::string const& kind,
                                        std::string const& sender);
 
-    /// The same; a fault that is set for a path or a text is taken only by requests that
-    /// match.
+    /// The same for the sender, path and body of a request.
     std::optional<fault> consume_fault(std::string const&      kind,
                                        httplib::Request const& request);
 
@@ -84,22 +88,24 @@
     std::map<std::string, fault>          faults_;
 };
 
-/// Makes the server close the connection where an answer should stand: the request took
-/// effect, and its sender can't know.
+/// Makes the server close the connection before the body of the response is sent. The
+/// sender cannot tell whether the request took effect.
 void drop_response(httplib::Response& response);
 
 void write_json(httplib::Response& response, nlohmann::json const& body,
                 int status = 200);
 
-/// Settings of a stand-in by section and key, over its defaults.
+/// Settings of a stand-in by key.
 using standin_settings = std::map<std::string, std::string>;
 
-/// Reads --settings FILE ([standin] key = value), --set key=value and --help. Exits the
-/// process with 0 after --help and with 2 on a wrong command line.
+/// Reads --settings FILE (INI, section [standin]), --set KEY=VALUE and --help over the
+/// defaults. Exits the process with 0 after --help and with 2 on an invalid command line,
+/// an unknown setting or an unreadable file.
 standin_settings parse_command_line(int argc, char** argv,
                                     standin_settings const& defaults,
                                     std::string const&      description);
 
+/// Returns a setting as a number. Exits the process with 2 if it is not an integer.
 std::int64_t number_setting(standin_settings const& settings, std::string const& key);
 
 } // namespace marigoldcrank::standins
