--- a/standins/standin_server.hpp
+++ b/standins/standin_server.hpp
@@ -1,7 +1,7 @@
 // HTTP server that all stand-ins share: it records the requests it receives and injects
 // faults.
 //
-// Index: 1 received_request, 2 fault, 3 standin_server, 4 command line
+// Index: 1 fault, 2 standin_server, 3 responses, 4 settings
 //
 // Tests read what was received from /control/received here, at the receiving end, not
 // from the logs of the system under test.
@@ -23,7 +23,8 @@
 namespace marigoldcrank::standins
 {
 
-/// A fault set at /control/fault. There is at most one of each kind.
+/// A fault set at /control/fault, at most one of each kind. `from` lists senders
+/// separated by spaces.
 struct fault
 {
     std::string                           kind;       // ""      name; "none" clears all
