--- a/apps/marigoldcrank.cpp
+++ b/apps/marigoldcrank.cpp
@@ -1,4 +1,4 @@
-// marigoldcrank: the operators' command-line tool.
+// Entry point of marigoldcrank, the operators' command-line tool.
 //
 // Index: 1 help, 2 command line, 3 main
 #include "app/option_text.hpp"
@@ -19,12 +19,12 @@
 
 constexpr char const* common_options =
     "Options:\n"
-    "  -n, --node HOST:PORT,...   entry VMs to ask (MARIGOLDCRANK_NODES)\n"
+    "  -n, --node HOST:PORT,...   entry VMs to call (MARIGOLDCRANK_NODES)\n"
     "  -k, --operator-key KEY     operators' key (MARIGOLDCRANK_OPERATOR_KEY)\n"
-    "  -j, --json                 JSON for scripts\n"
-    "  -h, --help                 this text\n\n"
-    "Exit codes: 0 done; 1 failed; 2 wrong command line; 3 conflict with another\n"
-    "operator's change; 4 outcome not settled, run again; 5 no node answered.\n";
+    "  -j, --json                 print JSON for scripts\n"
+    "  -h, --help                 print this text\n\n"
+    "Exit codes: 0 done; 1 failed; 2 invalid command line; 3 conflict with another\n"
+    "operator's change; 4 outcome unknown, run again; 5 no node answered.\n";
 
 void print_help(operator_command const* command)
 {
@@ -70,13 +70,13 @@
     return nodes;
 }
 
-std::string environment(char const* name)
+std::string environment_value(char const* name)
 {
     char const* value = std::getenv(name);
     return value != nullptr ? value : "";
 }
 
-int run(operator_command const& command, command_context const& context)
+int run_command(operator_command const& command, command_context const& context)
 {
     return leaf::try_handle_all(
         [&] { return command.run(context); },
@@ -90,13 +90,14 @@
         },
         [](transport_failure const& failure)
         {
-            std::cerr << "marigoldcrank: " << failure.peer << ": "
-                      << name_of(failure.fault) << "\n";
+            std::cerr << "marigoldcrank: " << failure.peer
+                      << ": request failed: " << name_of(failure.fault) << "\n";
             return static_cast<int>(failure.status != 0 ? exit_failed : exit_unreachable);
         },
         []
         {
-            std::cerr << "marigoldcrank: the answer could not be read\n";
+            std::cerr << "marigoldcrank: a node's response or an input file could not be "
+                         "parsed\n";
             return static_cast<int>(exit_failed);
         });
 }
@@ -113,8 +114,8 @@
                                      {"help", no_argument, nullptr, 'h'},
                                      {nullptr, 0, nullptr, 0}};
     command_context     context;
-    context.options.nodes = split_nodes(environment("MARIGOLDCRANK_NODES"));
-    context.options.operator_key = environment("MARIGOLDCRANK_OPERATOR_KEY");
+    context.options.nodes = split_nodes(environment_value("MARIGOLDCRANK_NODES"));
+    context.options.operator_key = environment_value("MARIGOLDCRANK_OPERATOR_KEY");
     bool help = false;
     for (int flag = 0;
          (flag = getopt_long(argc, argv, "n:k:jh", options, nullptr)) != -1;)
@@ -145,9 +146,9 @@
     }
     if (command == nullptr)
     {
-        std::cerr << "marigoldcrank: unknown or missing subcommand; see --help\n";
+        std::cerr << "marigoldcrank: the subcommand is missing or unknown; see --help\n";
         return exit_usage;
     }
     context.arguments.assign(argv + optind + 1, argv + argc);
-    return run(*command, context);
+    return run_command(*command, context);
 }
--- a/apps/marigoldcrankd.cpp
+++ b/apps/marigoldcrankd.cpp
@@ -1,4 +1,4 @@
-// marigoldcrankd: the daemon, the same on every entry VM.
+// Entry point of marigoldcrankd, the daemon that runs on every entry VM.
 //
 // Index: 1 command line, 2 signals, 3 main
 #include "adapters/logging.hpp"
@@ -30,9 +30,9 @@
 struct command_line
 {
     std::string settings_file;
-    std::string entry_file; // settings of an entry VM on the users' platform
+    std::string entry_file; // settings for the users' platform, instead of settings_file
     bool        check_only = false;
-    bool        print = false;
+    bool        print_settings = false;
 };
 
 void print_help()
@@ -41,13 +41,13 @@
         << "Usage: marigoldcrankd --settings FILE [--check-settings]\n"
            "       marigoldcrankd --entry FILE [--check-settings]\n\n"
            "Serves callers on one entry VM until SIGTERM, which drains it.\n\n"
-           "  -s, --settings FILE    settings in INI form\n"
-           "  -e, --entry FILE       settings of an entry VM on the users' platform\n"
-           "  -c, --check-settings   check FILE, print what is wrong, exit 0 or 1\n"
+           "  -s, --settings FILE    read the settings from this INI file\n"
+           "  -e, --entry FILE       the same for an entry VM on the users' platform\n"
+           "  -c, --check-settings   check FILE, print any error, exit 0 or 1\n"
            "  -p, --print-settings   print all settings with their meaning and exit\n"
-           "  -h, --help             this text\n\n"
-           "Exit codes: 0 drained or checked; 1 failed, or stopped before it had "
-           "drained;\n            2 wrong command line.\n";
+           "  -h, --help             print this text\n\n"
+           "Exit codes: 0 drained, or FILE is valid; 1 failed, or stopped before it had "
+           "drained;\n            2 invalid command line.\n";
 }
 
 std::optional<command_line> parse_command_line(int argc, char** argv, int& exit_code)
@@ -75,7 +75,7 @@
             result.check_only = true;
             break;
         case 'p':
-            result.print = true;
+            result.print_settings = true;
             break;
         case 'h':
             print_help();
@@ -85,11 +85,11 @@
             return std::nullopt;
         }
     }
-    bool const without_file = result.settings_file.empty() && result.entry_file.empty();
-    if (without_file && !result.print)
+    bool const no_file = result.settings_file.empty() && result.entry_file.empty();
+    if (no_file && !result.print_settings)
     {
         std::cerr
-            << "marigoldcrankd: --settings or --entry FILE is missing; see --help\n";
+            << "marigoldcrankd: needs --settings FILE or --entry FILE; see --help\n";
         return std::nullopt;
     }
     return result;
@@ -97,13 +97,13 @@
 
 // 2. Signals
 
-/// Waits for SIGTERM or SIGINT, or an operator's order to drain.
+/// Blocks until SIGTERM or SIGINT arrives or an operator requests a drain.
 void wait_for_stop(node const& daemon, sigset_t const& signals)
 {
-    timespec const pause{0, 100'000'000};
+    timespec const poll_interval{0, 100'000'000};
     while (!daemon.drain_requested())
     {
-        if (sigtimedwait(&signals, nullptr, &pause) > 0)
+        if (sigtimedwait(&signals, nullptr, &poll_interval) > 0)
         {
             return;
         }
@@ -158,7 +158,7 @@
             {
                 BOOST_LEAF_ASSIGN(options, load_settings(command->settings_file));
             }
-            if (command->print)
+            if (command->print_settings)
             {
                 std::cout << format_settings(options);
                 return exit_ok;
@@ -177,7 +177,7 @@
         },
         []
         {
-            std::cerr << "marigoldcrankd: failed\n";
+            std::cerr << "marigoldcrankd: failed with an unexpected error\n";
             return exit_failure;
         });
 }
