--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -14,7 +14,7 @@
 
 // 1. Tokens
 
-std::string token_of(std::uint64_t prompt_hash, std::uint64_t index)
+std::string generate_token(std::uint64_t prompt_hash, std::uint64_t index)
 {
     static constexpr std::array        words{"well ",  "run ",   "throw ", "jump ",
                                       "medal ", "class ", "claim ", "ferry ",
--- a/standins/engine_model.hpp
+++ b/standins/engine_model.hpp
@@ -34,7 +34,7 @@
 
 /// Returns token `index` of the response to a prompt. It depends on nothing else, so that
 /// another engine can resume the response.
-std::string token_of(std::uint64_t prompt_hash, std::uint64_t index);
+std::string generate_token(std::uint64_t prompt_hash, std::uint64_t index);
 
 /// LRU cache of prompt prefixes by hash, limited by their tokens. It records an event for
 /// each stored or evicted prefix, which can be read late or get lost, as the options say.
--- a/standins/engine_standin.cpp
+++ b/standins/engine_standin.cpp
@@ -256,7 +256,8 @@
         }
         std::this_thread::sleep_for(
             std::chrono::microseconds(self.options.decode_us * factor));
-        auto text = events_with_faults(faults, job, sequence, token_of(hash, sequence));
+        auto text =
+            events_with_faults(faults, job, sequence, generate_token(hash, sequence));
         if (faults.reordered && delayed.empty() && sequence + 1 < job.tokens)
         {
             delayed = std::move(text);
--- a/tests/support/model_caller.cpp
+++ b/tests/support/model_caller.cpp
@@ -130,7 +130,7 @@
     std::string text;
     for (int index = 0; index < question.tokens; ++index)
     {
-        text += standins::token_of(hash, static_cast<std::uint64_t>(index));
+        text += standins::generate_token(hash, static_cast<std::uint64_t>(index));
     }
     return text;
 }
