--- a/src/adapters/caller_connection.cpp
+++ b/src/adapters/caller_connection.cpp
@@ -1,4 +1,4 @@
-// Whether the caller of a request is still there.
+// Finds the socket of a caller by its remote address and checks it for a close.
 #include "adapters/caller_connection.hpp"
 
 #include <arpa/inet.h>
--- a/src/adapters/caller_connection.hpp
+++ b/src/adapters/caller_connection.hpp
@@ -1,4 +1,4 @@
-// Whether the caller of a request is still there.
+// Detects that the caller of a request has closed its connection.
 //
 // Index: caller_connection
 #ifndef MARIGOLDCRANK_ADAPTERS_CALLER_CONNECTION_HPP
@@ -10,22 +10,24 @@
 namespace marigoldcrank
 {
 
-/// The HTTP library tells a handler the caller's address but neither its socket nor that
-/// it has left; a handler that waits for a first token would let the engine work for
-/// nobody. The socket is looked up by its remote address. It stays open while the handler
-/// runs, since the thread that runs the handler owns it.
+/// Checks the connection of one caller while a handler serves its request. cpp-httplib
+/// gives a handler the caller's address, but neither its socket nor a sign that the
+/// caller has left; without this check a handler that waits for a first token would let
+/// the engine work for nobody. The socket is found by its remote address among the
+/// descriptors of the process. It stays open while the handler runs, since the thread
+/// that runs the handler owns it.
 class caller_connection
 {
 public:
     caller_connection(std::string remote_host, int remote_port);
 
-    /// True if the caller closed its connection, or half of it.
+    /// True if the caller has closed its connection, or its sending half. Does not block.
     bool closed();
 
 private:
     std::string        remote_host_;
     int                remote_port_;
-    std::optional<int> socket_; // looked up at the first question
+    std::optional<int> socket_; // found at the first call of closed()
 };
 
 } // namespace marigoldcrank
--- a/src/adapters/event_log.cpp
+++ b/src/adapters/event_log.cpp
@@ -1,4 +1,4 @@
-// Formatting and bounded writing of log lines.
+// Formats log lines and writes them without blocking.
 #include "adapters/event_log.hpp"
 
 #include <xxhash.h>
@@ -16,7 +16,7 @@
 {
 
 constexpr std::size_t pipe_atomic_bytes =
-    4096; // a pipe that polls writable takes so many
+    4096; // a pipe that polls as writable accepts this many without blocking
 
 bool plain(std::string_view value)
 {
@@ -158,7 +158,7 @@
                                      std::min(waiting_.size(), pipe_atomic_bytes));
         if (written <= 0)
         {
-            return; // tried again at the next flush; the buffer is bounded
+            return; // the next flush tries again; the buffer is bounded
         }
         waiting_.erase(0, static_cast<std::size_t>(written));
     }
--- a/src/adapters/event_log.hpp
+++ b/src/adapters/event_log.hpp
@@ -1,10 +1,10 @@
-// Structured log lines on standard output: bounded, sampled, never blocking.
+// Structured log lines on standard output: rate-limited, sampled, never blocking.
 //
 // Index: 1 event_line, 2 event_log_options, 3 event_log
 //
-// A reader of the pipe that stalls must not stall the serving path: lines wait in a
-// bounded buffer, are written only while the pipe takes them, and are counted once they
-// are dropped.
+// A slow reader of the pipe must not block the serving path: lines wait in a bounded
+// buffer, are written only while the pipe accepts them, and are counted when they are
+// dropped.
 #ifndef MARIGOLDCRANK_ADAPTERS_EVENT_LOG_HPP
 #define MARIGOLDCRANK_ADAPTERS_EVENT_LOG_HPP
 
@@ -17,13 +17,14 @@
 namespace marigoldcrank
 {
 
-/// One line in the making, in logfmt: `ev=refuse id=9c41 status=503`.
+/// Builds one line in logfmt: `ev=refuse id=9c41 status=503`.
 class event_line
 {
 public:
     explicit event_line(std::string_view event);
 
-    /// Text with blanks, quotes, equals signs or control bytes is quoted and escaped.
+    /// A value that is empty or contains blanks, quotes, equals signs, backslashes,
+    /// control bytes or bytes beyond ASCII is quoted and escaped.
     event_line& add(std::string_view name, std::string_view value);
     event_line& add(std::string_view name, std::int64_t value);
     event_line& add(std::string_view name, boot_clock::duration value); // in ms
@@ -36,33 +37,37 @@
 
 struct event_log_options
 {
-    std::int64_t lines_per_s = 400;     // 400    most lines a second; more are counted
-    std::int64_t sample = 8;            // 8      one call in so many has all its lines
-    std::size_t  buffer_bytes = 262144; // 262144 waiting for the reader of the pipe
+    std::int64_t lines_per_s = 400;     // 400    lines/s; more are dropped and counted
+    std::int64_t sample = 8;            // 8      one call in this many has all its lines
+    std::size_t  buffer_bytes = 262144; // 262144 bytes waiting for the pipe's reader
 
     bool operator==(event_log_options const&) const = default;
 };
 
-/// Used by one thread, which also calls `flush` a few times a second.
+/// Not thread-safe: one thread uses it and also calls `flush` a few times a second.
 class event_log
 {
 public:
     explicit event_log(event_log_options options, int descriptor = 1);
 
-    /// Whether all lines of the call with this id are written. The same on every VM, so a
-    /// sampled call can be followed through all of them.
+    /// Whether all lines of the call with this id are written. The decision depends on
+    /// the id alone and is the same on every VM with the same setting, so a sampled call
+    /// can be followed through all of them.
     bool sampled(std::string_view id) const noexcept;
 
-    /// A refusal, a failure or a change of belief: written up to the bound.
+    /// Writes a line for every call, sampled or not, up to the limits: a refusal, a
+    /// failure, or a change in what the VM assumes about the system.
     void write(event_line const& line, boot_clock::time_point now);
 
-    /// A step of a call: written for sampled ids only.
+    /// Writes a line about a step of a call if the id is sampled.
     void write_step(std::string_view id, event_line const& line,
                     boot_clock::time_point now);
 
-    /// Hands to the pipe what it takes at once.
+    /// Writes what the pipe accepts without blocking. If lines were dropped since the
+    /// last report, a `lines_dropped` line states how many.
     void flush(boot_clock::time_point now);
 
+    /// Lines dropped since the start.
     std::uint64_t dropped() const noexcept;
 
 private:
@@ -72,9 +77,9 @@
     int                    descriptor_;
     std::string            waiting_;
     boot_clock::time_point second_{};
-    std::int64_t           lines_ = 0; // in this second
+    std::int64_t           lines_ = 0; // admitted in the current second
     std::uint64_t          dropped_ = 0;
-    std::uint64_t          told_ = 0; // dropped lines that a line has told of
+    std::uint64_t          told_ = 0; // dropped lines that a log line has reported
 };
 
 } // namespace marigoldcrank
--- a/src/adapters/exchange_watch.cpp
+++ b/src/adapters/exchange_watch.cpp
@@ -1,4 +1,4 @@
-// Ends exchanges whose time is up.
+// Closes HTTP exchanges that have passed their deadline.
 #include "adapters/exchange_watch.hpp"
 
 #include <httplib.h>
@@ -8,7 +8,7 @@
 
 namespace
 {
-constexpr millis tick{10};
+constexpr millis tick{10}; // ms between two checks of all deadlines
 } // namespace
 
 exchange_watch::guard::guard(exchange_watch& watch, httplib::Client& client,
@@ -80,9 +80,9 @@
     {
         if (now >= each.until)
         {
-            // Again on every tick: a stop between two steps of the library, before its
-            // socket counts as used, has no effect. While a client connects this waits
-            // for it, at most the connection timeout.
+            // Repeated on every tick: a stop between two steps of the library, before its
+            // socket counts as in use, has no effect. While a client connects, stop()
+            // waits for it, at most for the connection timeout.
             each.expired = true;
             each.client->stop();
         }
--- a/src/adapters/exchange_watch.hpp
+++ b/src/adapters/exchange_watch.hpp
@@ -1,4 +1,4 @@
-// Ends exchanges whose time is up, from a thread of its own.
+// Closes HTTP exchanges that have passed their deadline, from a thread of its own.
 //
 // Index: 1 exchange_watch, 2 exchange_watch::guard
 #ifndef MARIGOLDCRANK_ADAPTERS_EXCHANGE_WATCH_HPP
@@ -22,15 +22,16 @@
 namespace marigoldcrank
 {
 
-/// A read timeout starts again with every byte, so that a server which trickles junk, or
-/// headers byte by byte, would hold a caller beyond its deadline. The watch shuts the
-/// socket down when the time is up, whatever the reading thread waits for.
+/// Enforces a deadline on HTTP exchanges. A read timeout starts again with every byte, so
+/// a server that trickles junk, or headers byte by byte, would hold a caller beyond its
+/// deadline. The watch shuts the socket down at the deadline, whatever the reading thread
+/// waits for.
 class exchange_watch
 {
     struct entry;
 
 public:
-    /// Watches one exchange while it lives.
+    /// Keeps one exchange registered with the watch during its lifetime.
     class guard
     {
     public:
@@ -40,14 +41,15 @@
         guard(guard const&) = delete;
         guard& operator=(guard const&) = delete;
 
-        /// Moves the end; takes no lock.
+        /// Changes the deadline; takes no lock.
         void move_end(boot_clock::time_point until) noexcept;
 
         /// True if the watch has ended the exchange.
         bool expired() const noexcept;
 
-        /// Ends the watching. Called before the client goes to another user: a late stop
-        /// would end that user's exchange. True if the watch has ended this one.
+        /// Ends the registration and returns true if the watch has ended this exchange.
+        /// It must be called before the client goes to another user: a late stop would
+        /// end that user's exchange.
         bool release();
 
     private:
--- a/src/adapters/http_backend.cpp
+++ b/src/adapters/http_backend.cpp
@@ -1,4 +1,4 @@
-// Engines and plain services over HTTP.
+// HTTP client for inference engines and plain services.
 //
 // Index: 1 events, 2 streams, 3 service calls, 4 cancel and load
 #include "adapters/http_backend.hpp"
@@ -26,9 +26,10 @@
 
 // 1. Events
 
-constexpr millis closing_grace{50}; // for the end of a stream whose answer is whole
+constexpr millis closing_grace{50}; // ms to read the end of a complete response stream
 
-/// An event that is no JSON object reads as one of no request, and is dropped as such.
+/// An event that is not a JSON object becomes an event without a request id; the receiver
+/// drops it.
 stream_event parse_event(std::string_view data)
 {
     auto const body = json::parse(data, nullptr, false);
@@ -62,7 +63,8 @@
     return request;
 }
 
-/// A read error is a timeout or a broken connection; the library does not say which.
+/// The library reports a timeout and a broken connection as the same read error; the
+/// deadline and the time since the last byte tell them apart.
 transport_fault read_fault(httplib::Error error, bool expired,
                            boot_clock::time_point last_byte, millis silence)
 {
@@ -74,8 +76,9 @@
     return fault == transport_fault::silent ? transport_fault::answer_lost : fault;
 }
 
-/// A kept-alive connection may have gone silent for good while new ones work, and then
-/// its neighbours have too: the next attempt, at this server also, opens a new one.
+/// A kept-alive connection can go silent for good while new ones work; the other idle
+/// connections of that server are then silent too. All of them are closed, so that the
+/// next attempt, also at this server, opens a new connection.
 void drop_idle_after(http_client_pool& clients, httplib::Error error,
                      backend_server const& server)
 {
@@ -175,10 +178,11 @@
 leaf::result<service_answer> http_backend::call(backend_server const& server,
                                                 service_call const&   service)
 {
-    // A kept-alive connection may have been closed by the service meanwhile, and a
-    // failure on it could not be told from a lost answer. A new connection keeps "not
-    // connected" provable, which is what makes a refusal as not run true. The library
-    // sends a request again by itself only over TLS, so a plain connection sends once.
+    // A kept-alive connection may have been closed by the service in the meantime, and a
+    // failure on it could not be told from a lost response. With a new connection, "not
+    // connected" proves that the service received nothing, so that a refusal may state
+    // that the call was not run. The library resends a request by itself only over TLS,
+    // so a plain connection sends it once.
     http_client_pool fresh(clients_.timeouts());
     auto             client = fresh.take(server.host, server.port);
     client->set_keep_alive(false);
@@ -227,8 +231,8 @@
     {
         load_clients_.drop_idle(server.host, server.port);
         drop_idle_after(clients_, answer.error(), server);
-        // A process that ends closes its connections before it stops listening; a new
-        // connection in between breaks at once, and must not pass for a silent one.
+        // A process that ends closes its connections before it stops listening. A new
+        // connection made in between breaks at once and must not be reported as silent.
         return leaf::new_error(transport_failure{
             read_fault(answer.error(), false, begun, load_clients_.timeouts().silence),
             server.id, 0});
--- a/src/adapters/http_backend.hpp
+++ b/src/adapters/http_backend.hpp
@@ -1,4 +1,4 @@
-// Engines and plain services over HTTP.
+// HTTP client for inference engines and plain services.
 //
 // Index: http_backend
 #ifndef MARIGOLDCRANK_ADAPTERS_HTTP_BACKEND_HPP
@@ -17,7 +17,8 @@
 class http_backend
 {
 public:
-    /// `load_timeout` bounds a load read, and so how long a silent server goes unseen.
+    /// `load_timeout` limits each read of a server's load, and so the time until a server
+    /// that does not respond is detected. `sender` names this process in each request.
     http_backend(http_timeouts timeouts, millis load_timeout, std::string sender);
 
     leaf::result<void> stream(backend_server const& server, engine_call const& call,
@@ -28,10 +29,11 @@
                 std::uint64_t attempt);
     leaf::result<load_report> load(backend_server const& server);
 
-    /// Idle connections kept for the next call.
+    /// Idle connections that are kept for later requests.
     std::size_t idle_connections() const;
 
 private:
+    /// Returns the client to the pool unless its exchange has been ended at the deadline.
     leaf::result<void> keep(backend_server const&            server,
                             std::unique_ptr<httplib::Client> client, bool expired);
 
--- a/src/adapters/http_client_pool.cpp
+++ b/src/adapters/http_client_pool.cpp
@@ -1,4 +1,4 @@
-// Keep-alive HTTP connections.
+// Pool of keep-alive HTTP clients.
 #include "adapters/http_client_pool.hpp"
 
 #include <httplib.h>
@@ -11,11 +11,11 @@
 namespace
 {
 constexpr std::size_t max_idle_per_address = 64;
-constexpr millis      max_idle_age{4000}; // below the servers' usual keep-alive time
-constexpr millis      sweep_every{1000};
+constexpr millis      max_idle_age{4000}; // ms; below the servers' usual keep-alive time
+constexpr millis      sweep_every{1000};  // ms
 
-/// TCP_USER_TIMEOUT ends a connection whose sent bytes are not acknowledged, which a read
-/// timeout alone does not see while the kernel retransmits.
+/// TCP_USER_TIMEOUT ends a connection whose sent bytes are not acknowledged. A read
+/// timeout alone does not detect that while the kernel retransmits.
 void guard_socket(int socket, millis silence)
 {
     int const          on = 1;
@@ -83,8 +83,9 @@
     return count;
 }
 
-/// Servers are replaced all day, and nobody takes the clients of one that is gone: each
-/// would keep a descriptor for ever. Old ones are also those that may have gone silent.
+/// Servers are replaced all the time, and no request takes the clients of a server that
+/// is gone: without this sweep each would keep a descriptor for ever. Old connections may
+/// also have gone silent.
 void http_client_pool::drop_old(boot_clock::time_point now)
 {
     if (now - swept_ < sweep_every)
--- a/src/adapters/http_client_pool.hpp
+++ b/src/adapters/http_client_pool.hpp
@@ -1,4 +1,4 @@
-// Keep-alive HTTP connections to one address each, handed out to one user at a time.
+// Pool of keep-alive HTTP clients by address; each has one user at a time.
 //
 // Index: http_timeouts, http_client_pool
 #ifndef MARIGOLDCRANK_ADAPTERS_HTTP_CLIENT_POOL_HPP
@@ -24,29 +24,30 @@
 /// Timeouts of one exchange.
 struct http_timeouts
 {
-    millis connect{500};
-    millis silence{3000}; // longest time without a byte
+    millis connect{500};  // 500   ms to open a connection
+    millis silence{3000}; // 3000  ms, the longest time without a byte
 };
 
-/// Idle clients by address. A client whose exchange failed must be dropped, not put back,
-/// and the other idle ones of its address with it (drop_idle): whatever lost track of one
-/// connection has lost track of its neighbours too, and each would cost a caller the
-/// whole silence timeout again. What is opened afterwards is new, and new connections
-/// work.
+/// Idle clients by address; safe to use from several threads. A client whose exchange
+/// failed must be destroyed, not put back, and drop_idle must close the other idle
+/// clients of its address: whatever lost the state of one connection has lost that of the
+/// others too, and each would cost a caller the whole silence timeout again. Connections
+/// that are opened afterwards work.
 class http_client_pool
 {
 public:
     explicit http_client_pool(http_timeouts timeouts);
     ~http_client_pool();
 
+    /// Takes an idle client of the address, or makes a new one.
     std::unique_ptr<httplib::Client> take(std::string const& host, int port);
     void                             put_back(std::string const& host, int port,
                                               std::unique_ptr<httplib::Client> client);
 
-    /// Closes the idle clients of one address; the next take opens a new connection.
+    /// Closes the idle clients of one address; the next take makes a new one.
     void drop_idle(std::string const& host, int port);
 
-    /// Idle clients of all addresses.
+    /// Number of idle clients of all addresses.
     std::size_t idle() const;
 
     http_timeouts const& timeouts() const noexcept;
@@ -59,7 +60,7 @@
         boot_clock::time_point           since;
     };
 
-    void drop_old(boot_clock::time_point now); // under the lock
+    void drop_old(boot_clock::time_point now); // the caller holds mutex_
 
     http_timeouts                               timeouts_;
     mutable std::mutex                          mutex_;
--- a/src/adapters/http_engine_state.cpp
+++ b/src/adapters/http_engine_state.cpp
@@ -1,4 +1,4 @@
-// Engines' own account of their role, over HTTP.
+// Reads the role that an engine reports about itself, over HTTP.
 #include "adapters/http_engine_state.hpp"
 
 #include "adapters/http_exchange.hpp"
--- a/src/adapters/http_engine_state.hpp
+++ b/src/adapters/http_engine_state.hpp
@@ -1,4 +1,4 @@
-// Engines' own account of their role, over HTTP.
+// Reads the role that an engine reports about itself, over HTTP.
 //
 // Index: http_engine_state
 #ifndef MARIGOLDCRANK_ADAPTERS_HTTP_ENGINE_STATE_HPP
@@ -12,7 +12,8 @@
 namespace marigoldcrank
 {
 
-/// Models engine_state_port. Safe to use from several threads.
+/// Models engine_state_port: current role, whether it is changing, highest fencing token
+/// seen. Safe to use from several threads.
 class http_engine_state
 {
 public:
--- a/src/adapters/http_exchange.cpp
+++ b/src/adapters/http_exchange.cpp
@@ -1,4 +1,4 @@
-// Classification of cpp-httplib's errors.
+// Maps errors of cpp-httplib to transport faults.
 #include "adapters/http_exchange.hpp"
 
 namespace marigoldcrank
--- a/src/adapters/http_exchange.hpp
+++ b/src/adapters/http_exchange.hpp
@@ -1,4 +1,5 @@
-// What a failed exchange of cpp-httplib says about the effect of the request.
+// Maps errors of cpp-httplib to transport faults, which state whether a failed request
+// may have taken effect.
 //
 // Index: fault_of, transport_error
 #ifndef MARIGOLDCRANK_ADAPTERS_HTTP_EXCHANGE_HPP
@@ -13,10 +14,11 @@
 namespace marigoldcrank
 {
 
-/// Only an error before the first byte was sent proves that the other side got nothing.
+/// Gives `not_connected` only for an error before the first byte was sent: no other error
+/// proves that the other side received nothing.
 transport_fault fault_of(httplib::Error error) noexcept;
 
-/// A new LEAF error with the transport_failure of `error`.
+/// Creates a LEAF error that carries the transport_failure of `error` at `peer`.
 leaf::error_id transport_error(httplib::Error error, std::string peer);
 
 } // namespace marigoldcrank
--- a/src/adapters/http_platform.cpp
+++ b/src/adapters/http_platform.cpp
@@ -1,4 +1,4 @@
-// The platform over HTTP.
+// HTTP client of the platform.
 //
 // Index: 1 exchanges, 2 log, 3 VM list
 #include "adapters/http_platform.hpp"
@@ -16,8 +16,8 @@
 {
 using nlohmann::json;
 
-constexpr millis      log_read_margin{2000};
-constexpr int         status_gone = 410;
+constexpr millis log_read_margin{2000}; // ms, added to the read timeout of long polls
+constexpr int    status_gone = 410;
 constexpr char const* json_type = "application/json";
 } // namespace
 
@@ -32,7 +32,8 @@
 
 namespace
 {
-/// Request line, status line and the headers that the library adds by itself.
+/// Bytes of the request line, the status line and the headers that the library adds by
+/// itself.
 constexpr std::uint64_t fixed_bytes = 160;
 } // namespace
 
@@ -66,8 +67,8 @@
     count("/log/append", text, answer);
     if (!answer)
     {
-        // A connection that was never opened carried nothing; any other error may stand
-        // for a lost answer, and the record may take effect later.
+        // A connection that was never opened carried nothing. After any other error the
+        // response may have been lost, and the record may still take effect.
         bool const unknown = fault_of(answer.error()) != transport_fault::not_connected;
         return leaf::new_error(append_failure{unknown});
     }
--- a/src/adapters/http_platform.hpp
+++ b/src/adapters/http_platform.hpp
@@ -1,4 +1,4 @@
-// The platform over HTTP: log, VM list. Orders and reports go by order_socket.
+// HTTP client of the platform: log and VM list. order_socket sends orders and reports.
 //
 // Index: http_platform
 #ifndef MARIGOLDCRANK_ADAPTERS_HTTP_PLATFORM_HPP
@@ -29,7 +29,8 @@
     leaf::result<log_page>                    read(std::uint64_t from, millis wait);
     leaf::result<std::vector<backend_server>> backend_servers();
 
-    /// Bytes sent and received, for the budget of control traffic.
+    /// Bytes sent and received, estimated from paths, bodies and headers, for the budget
+    /// of control traffic.
     std::uint64_t bytes() const noexcept;
 
 private:
@@ -41,7 +42,7 @@
     int                        port_;
     std::string                sender_;
     http_client_pool           clients_;
-    http_client_pool           log_readers_; // long polls; a timeout beyond the wait
+    http_client_pool           log_readers_; // long polls; read timeout above the wait
 };
 
 static_assert(platform_log_port<http_platform>);
--- a/src/adapters/http_server.cpp
+++ b/src/adapters/http_server.cpp
@@ -1,4 +1,4 @@
-// cpp-httplib's server with a bounded number of connections.
+// Configuration of cpp-httplib servers with a bounded number of connections.
 //
 // Index: 1 overflow_queue, 2 configure, 3 refusals
 #include "adapters/http_server.hpp"
@@ -22,7 +22,7 @@
 constexpr std::size_t overflow_backlog = 256; // connections waiting to be refused
 } // namespace
 
-/// One set of threads and the tasks that wait for it.
+/// A group of threads and the tasks that wait for one of them.
 struct overflow_queue::lane
 {
     std::mutex                        mutex;
@@ -31,7 +31,7 @@
     std::size_t                       idle = 0;
     bool                              stopping = false;
 
-    /// Takes the task if a thread is free for it.
+    /// Takes the task if a thread is idle; returns false otherwise.
     bool offer(std::function<void()>& task)
     {
         std::lock_guard const lock(mutex);
@@ -44,7 +44,8 @@
         return true;
     }
 
-    /// Waits for room; the kernel's own bounded backlog holds what comes meanwhile.
+    /// Waits until the group's backlog has room; meanwhile the kernel's own bounded
+    /// backlog holds new connections.
     void insist(std::function<void()>& task)
     {
         std::unique_lock lock(mutex);
@@ -128,18 +129,19 @@
 
 namespace
 {
-constexpr int waiting_connections = 1024; // at most; the kernel may allow fewer
+constexpr int waiting_connections = 1024; // maximum; the kernel may allow fewer
 constexpr int keep_alive_s = 5;
 constexpr int keep_alive_requests = 100'000;
 constexpr int send_buffer_bytes = 128 * 1024;
 constexpr int us_per_ms = 1000;
 constexpr int ms_per_s = 1000;
 
-/// Accepted sockets inherit these from the listening one. A caller that vanishes without
-/// FIN acknowledges nothing, and one that lives but reads nothing keeps its window shut:
-/// TCP_USER_TIMEOUT ends both, and the write timeout the second where the kernel does
-/// not. The bounded buffer makes them start after 128 KB and not after the megabytes that
-/// the kernel would grow it to, for each of hundreds of connections.
+/// Accepted sockets inherit these options from the listening one. TCP_USER_TIMEOUT ends
+/// the connection of a caller that vanished without FIN, which acknowledges nothing, and
+/// of one that is alive but reads nothing, whose window stays closed; the write timeout
+/// ends the latter where the kernel does not. The bounded send buffer lets both timeouts
+/// start after 128 KB. Otherwise the kernel would grow it to megabytes for each of
+/// hundreds of connections.
 void set_socket_options(int socket, millis silence)
 {
     int const          on = 1;
@@ -152,10 +154,10 @@
 }
 } // namespace
 
-/// The library lets five connections wait to be accepted. When more callers come at once,
-/// as after a failure that hits them together, the kernel drops what does not fit; such a
-/// caller waits a second and is then reset without an answer. Listening again with a
-/// larger backlog, before the first accept, leaves them in the queue.
+/// The library's backlog holds five connections. When more callers connect at once, as
+/// after a failure that affects all of them, the kernel drops the rest; such a caller
+/// waits a second and is then reset without a response. A second listen() with a larger
+/// backlog, before the first accept, keeps them in the queue.
 bool bind_port(httplib::Server& server, http_server_options const& options,
                std::string const& host, int port)
 {
--- a/src/adapters/http_server.hpp
+++ b/src/adapters/http_server.hpp
@@ -1,4 +1,5 @@
-// cpp-httplib's server with a bounded number of connections.
+// Configures cpp-httplib servers: a bounded number of connections, timeouts, and the
+// responses that refuse a call.
 //
 // Index: 1 overflow_queue, 2 http_server_options, 3 configure, refusal bodies
 #ifndef MARIGOLDCRANK_ADAPTERS_HTTP_SERVER_HPP
@@ -18,8 +19,9 @@
 namespace marigoldcrank
 {
 
-/// Serves connections with a fixed number of threads and refuses the rest at once with a
-/// few more: an unbounded queue would hold callers without an answer.
+/// Task queue of the server. A fixed number of threads serves connections, one each; a
+/// few more threads refuse all further connections at once. An unbounded queue would
+/// leave callers waiting without a response.
 class overflow_queue : public httplib::TaskQueue
 {
 public:
@@ -29,7 +31,7 @@
     void enqueue(std::function<void()> task) override;
     void shutdown() override;
 
-    /// True on a thread that only refuses.
+    /// True on a thread that only refuses connections.
     static bool refusing() noexcept;
 
 private:
@@ -44,26 +46,27 @@
 struct http_server_options
 {
     std::size_t threads = 256;        // 256      connections served at once
-    std::size_t overflow_threads = 4; // 4        connections refused at once
+    std::size_t overflow_threads = 4; // 4        threads that refuse connections
     std::size_t max_body = 4194304;   // 4194304  bytes of one request body
-    millis      silence{10000};       // 10000    a caller that reads nothing, ms
+    millis      silence{10000}; // 10000    ms until a caller that reads nothing is cut
 };
 
-/// Binds the server's port, with room for a burst of new connections.
+/// Applies the options, binds the port and listens with a backlog for a burst of new
+/// connections. False if the port can't be used.
 bool bind_port(httplib::Server& server, http_server_options const& options,
                std::string const& host, int port);
 
-/// Sets sockets, limits and the queue of a server.
+/// Applies the options: socket options, size and time limits, and the task queue.
 void configure(httplib::Server& server, http_server_options const& options);
 
-/// The HTTP status of a refusal.
+/// HTTP status of a refusal.
 int status_of(refusal_cause cause) noexcept;
 
-/// The error object of a refusal, as callers of the language model API expect it, with
-/// `fate` and `retry_after` beside the standard fields.
+/// JSON error object of a refusal, as callers of the language model API expect it, with
+/// `fate` and `retry_after` in addition to the standard fields.
 std::string refusal_body(refusal const& value, std::string const& request_id);
 
-/// Fills the whole answer: status, body, Retry-After.
+/// Fills the complete response: status, body, Retry-After and X-Request-Id.
 void write_refusal(httplib::Response& response, refusal const& value,
                    std::string const& request_id);
 
--- a/src/adapters/json_fields.hpp
+++ b/src/adapters/json_fields.hpp
@@ -1,9 +1,10 @@
-// Fields of JSON objects that others sent: a field of another type reads as absent.
+// Reads fields of JSON objects that other processes sent; a field of the wrong type
+// counts as absent.
 //
 // Index: number_field, text_field, flag_field
 //
-// nlohmann's value() throws if the type differs; from a confused engine that would end
-// the daemon.
+// nlohmann's value() throws if the type differs; a faulty message from an engine would
+// then end the daemon.
 #ifndef MARIGOLDCRANK_ADAPTERS_JSON_FIELDS_HPP
 #define MARIGOLDCRANK_ADAPTERS_JSON_FIELDS_HPP
 
@@ -15,7 +16,7 @@
 namespace marigoldcrank
 {
 
-/// A whole number that is not negative; 0 if there is none.
+/// The value of a non-negative integer field; 0 if there is none.
 inline std::uint64_t number_field(nlohmann::json const& object, char const* name)
 {
     auto const found = object.find(name);
@@ -24,12 +25,14 @@
                : 0;
 }
 
+/// The value of a string field; empty if there is none.
 inline std::string text_field(nlohmann::json const& object, char const* name)
 {
     auto const found = object.find(name);
     return found != object.end() && found->is_string() ? found->get<std::string>() : "";
 }
 
+/// The value of a boolean field; false if there is none.
 inline bool flag_field(nlohmann::json const& object, char const* name)
 {
     auto const found = object.find(name);
--- a/src/adapters/lease_timer.cpp
+++ b/src/adapters/lease_timer.cpp
@@ -23,8 +23,8 @@
     return SIGRTMIN + 4;
 }
 
-/// Runs in a signal handler: connect is async-signal-safe. AF_UNSPEC resets the
-/// connection and drops what the kernel has not sent yet.
+/// Signal handler; connect() is async-signal-safe. AF_UNSPEC resets the connection and
+/// discards what the kernel has not sent yet.
 void disconnect(int, siginfo_t* info, void*)
 {
     int const saved = errno;
@@ -53,8 +53,8 @@
                    });
 }
 
-/// A thread may have been started with signals blocked; a blocked one would stay pending
-/// beyond the send.
+/// The thread may have been started with signals blocked, and a blocked signal would stay
+/// pending until after the send.
 void unblock_signal()
 {
     sigset_t own;
--- a/src/adapters/lease_timer.hpp
+++ b/src/adapters/lease_timer.hpp
@@ -11,23 +11,24 @@
 namespace marigoldcrank
 {
 
-/// Guards against a process that is stopped between the check of its lease and the send:
-/// it would wake up in its successor's time and send at once. The timer's signal goes to
-/// this very thread and is delivered before the thread runs its next instruction, so the
-/// socket is disconnected by then, and the send fails.
+/// Protects against a process that is suspended between the check of its lease and the
+/// send: it would resume after its successor has taken over and send at once. The timer's
+/// signal goes to the sending thread and is delivered before that thread executes its
+/// next instruction, so the socket is disconnected by then and the send fails.
 ///
-/// One at a time in a thread; made, armed and destroyed by the sending thread. Destroy it
-/// before the socket is closed, so that no other connection gets the socket's number
-/// while the timer can still fire.
+/// A thread has at most one timer at a time; the sending thread creates, arms and
+/// destroys it. Destroy it before the socket is closed, so that no other connection gets
+/// the socket's number while the timer can still fire.
 class lease_timer
 {
 public:
+    /// Arms a timer on CLOCK_BOOTTIME that disconnects `socket` at `end`.
     lease_timer(int socket, boot_clock::time_point end);
     ~lease_timer();
     lease_timer(lease_timer const&) = delete;
     lease_timer& operator=(lease_timer const&) = delete;
 
-    /// False if the kernel gave no timer: then nothing may be sent.
+    /// False if the kernel could not create or start the timer: then nothing may be sent.
     bool armed() const noexcept;
 
 private:
--- a/src/adapters/logging.cpp
+++ b/src/adapters/logging.cpp
@@ -1,4 +1,4 @@
-// Log lines by easylogging++.
+// Logging by easylogging++.
 #include "adapters/logging.hpp"
 
 #include <easylogging++.h>
--- a/src/adapters/logging.hpp
+++ b/src/adapters/logging.hpp
@@ -1,4 +1,4 @@
-// Log lines: short sentences behind a fixed prefix for each part.
+// Logs short sentences behind a prefix that names the component.
 //
 // Index: log_part, start_logging, log_debug, log_info, log_warning, log_error
 #ifndef MARIGOLDCRANK_ADAPTERS_LOGGING_HPP
@@ -9,7 +9,7 @@
 namespace marigoldcrank
 {
 
-/// The parts of the system; each has its own prefix.
+/// Components of the system; each has its own prefix.
 enum class log_part
 {
     node,
@@ -24,8 +24,9 @@
     standin
 };
 
-/// Sets level (debug, info, warning, error) and sends lines to standard error; no file is
-/// ever written, entry VMs have no disks.
+/// Sets the lowest level that is written (debug, info, warning; any other word: error)
+/// and the line format. Lines go to standard output and never to a file, since entry VMs
+/// have no disks.
 void start_logging(std::string const& level);
 
 void log_debug(log_part part, std::string const& sentence);
--- a/src/adapters/metrics.cpp
+++ b/src/adapters/metrics.cpp
@@ -17,12 +17,12 @@
 
 constexpr double   lowest_seconds = 0.0001;
 constexpr double   highest_seconds = 100.0;
-constexpr unsigned bins = 60; // ten a decade: an error below 26% in any quantile
+constexpr unsigned bins = 60; // ten per decade: an error below 26% in any quantile
 
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
 using latency_histogram = decltype(bh::make_histogram(log_axis{}));
 
-/// A histogram and the sum of its values, which Prometheus asks for.
+/// A histogram and the sum of its values, which the Prometheus format requires.
 struct latency
 {
     latency_histogram counts =
--- a/src/adapters/metrics.hpp
+++ b/src/adapters/metrics.hpp
@@ -1,4 +1,4 @@
-// Counters and latency histograms, written out in Prometheus' text format.
+// Counters and latency histograms in Prometheus' text format.
 //
 // Index: metrics
 #ifndef MARIGOLDCRANK_ADAPTERS_METRICS_HPP
@@ -15,8 +15,8 @@
 namespace marigoldcrank
 {
 
-/// Safe to use from several threads; state lies in shards, each under its own lock, so
-/// that threads seldom meet.
+/// Safe to use from several threads. State is sharded by thread, with a lock for each
+/// shard, so that threads rarely contend.
 class metrics
 {
 public:
@@ -27,15 +27,15 @@
     void add(std::string const& counter, std::string const& labels = "",
              std::uint64_t amount = 1);
 
-    /// Records a duration in the histogram of this name.
+    /// Records a duration, in seconds, in the histogram of this name.
     void observe(std::string const& histogram, boot_clock::duration value);
 
-    /// Shows a value that another part keeps, read whenever the metrics are asked for.
-    /// Called before other threads use the object.
+    /// Registers a counter that another component maintains; `read` is called at each
+    /// exposition. Must be called before other threads use the object.
     void watch(std::string const& counter, std::string const& labels,
                std::function<std::uint64_t()> read);
 
-    /// All metrics in Prometheus' text format.
+    /// All metrics in Prometheus' text format, with the prefix `marigoldcrank_`.
     std::string exposition() const;
 
 private:
@@ -44,7 +44,7 @@
 
     shard& own_shard() const;
 
-    /// A value of another part, under its counter's name and labels.
+    /// A registered counter of another component.
     struct watched_value
     {
         std::string                    counter;
--- a/src/adapters/order_socket.cpp
+++ b/src/adapters/order_socket.cpp
@@ -1,6 +1,6 @@
-// Sends one order over a connection of its own.
+// Sends one order over a connection of its own, never after the end of the lease.
 //
-// Index: 1 socket, 2 answer, 3 order_socket
+// Index: 1 socket, 2 response, 3 order_socket
 #include "adapters/order_socket.hpp"
 
 #include "adapters/lease_timer.hpp"
@@ -28,8 +28,8 @@
 
 constexpr std::size_t largest_answer = 65'536;
 
-/// Closes with a reset unless the exchange came to its end: a normal close would leave
-/// unsent bytes to the kernel, which sends them when it can.
+/// Closes the connection with a reset unless the exchange has completed: a normal close
+/// would leave unsent bytes to the kernel, which sends them when it can.
 class socket_handle
 {
 public:
@@ -70,7 +70,8 @@
     return std::chrono::duration_cast<millis>(end - boot_clock::now()).count();
 }
 
-/// Waits for the events until `end`; a signal (the timer's) only makes it look again.
+/// Waits for the events until `end`; a signal, such as the timer's, only repeats the
+/// check.
 bool wait_for_events(int socket, short events, boot_clock::time_point end)
 {
     while (true)
@@ -93,6 +94,7 @@
     }
 }
 
+/// Limits TCP_USER_TIMEOUT to the rest of the lease. False if the lease has ended.
 bool limit_retransmission(int socket, boot_clock::time_point valid_until)
 {
     auto const left = left_ms(valid_until);
@@ -127,7 +129,7 @@
            getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
 }
 
-/// Bytes taken by the kernel; negative if it took none.
+/// Number of bytes that the kernel accepted; negative if it accepted none.
 ssize_t send_all(int socket, std::string const& text, boot_clock::time_point end)
 {
     ssize_t sent = ::send(socket, text.data(), text.size(), MSG_NOSIGNAL);
@@ -146,7 +148,7 @@
     return sent;
 }
 
-// 2. Answer
+// 2. Response
 
 std::string lower_case(std::string text)
 {
@@ -163,7 +165,7 @@
     return value;
 }
 
-/// The answer, once it is whole: status line, Content-Length, body.
+/// Parses status line, Content-Length and body; nothing while the response is incomplete.
 std::optional<order_answer> parse_answer(std::string const& text)
 {
     constexpr std::size_t status_at = 9; // after "HTTP/1.1 "
@@ -253,7 +255,7 @@
     auto const sent = send_all(socket.fd(), text, end);
     if (sent < 0)
     {
-        // Nothing was taken by the kernel: the lease is over, or the other side is gone.
+        // The kernel accepted nothing: the lease has ended, or the other side is gone.
         return leaf::new_error(
             transport_failure{transport_fault::not_connected, peer, 0});
     }
--- a/src/adapters/order_socket.hpp
+++ b/src/adapters/order_socket.hpp
@@ -1,15 +1,17 @@
-// Sends one order over a connection of its own, never after the end of the lease.
+// Sends orders and usage reports, each over a connection of its own, and never after the
+// end of the sender's lease.
 //
 // Index: order_socket
 //
-// Why not cpp-httplib: it sends headers and body apart, and gives no place between the
-// check of the lease and the send. The request is a few fixed lines, sent in one segment.
+// cpp-httplib is not used here: it sends headers and body separately and has no hook
+// between the check of the lease and the send. The request is a few fixed lines, sent in
+// one segment.
 //
-// Three guards stand against an order that arrives in a successor's time:
-// 1. a timer that disconnects the socket at the end of the lease (lease_timer), against a
-//    process that is stopped between check and send;
-// 2. TCP_USER_TIMEOUT no longer than what is left of the lease, against the kernel, which
-//    goes on retransmitting for a stopped process;
+// Three measures prevent an order from arriving after a successor has taken over:
+// 1. a timer that disconnects the socket at the end of the lease (lease_timer), for a
+//    process that is suspended between check and send;
+// 2. a TCP_USER_TIMEOUT no longer than the rest of the lease, for the kernel, which goes
+//    on retransmitting for a suspended process;
 // 3. the successor's wait for packets in flight, see engine_controller and vm_orderer.
 #ifndef MARIGOLDCRANK_ADAPTERS_ORDER_SOCKET_HPP
 #define MARIGOLDCRANK_ADAPTERS_ORDER_SOCKET_HPP
@@ -28,17 +30,21 @@
 public:
     using checkpoint = std::function<void()>;
 
-    /// Fits one segment on any usual network, so that an order arrives whole or not.
+    /// Bytes that fit into one segment on any usual network, so that an order arrives
+    /// completely or not at all.
     static constexpr std::size_t one_segment = 1200;
 
-    /// `sender` names this process to the other side. `before_send` runs between the
-    /// check of the lease and the send; tests stop the process there. `largest` is the
-    /// size of the largest request. A request of several segments (a usage report) may
-    /// break off at the end of the lease; the other side then has no whole request.
+    /// `timeout` limits the whole exchange. `sender` names this process to the other
+    /// side. `before_send` runs between the check of the lease and the send; tests
+    /// suspend the process there. `largest` limits the size of a request in bytes. A
+    /// request of several segments (a usage report) may be interrupted at the end of the
+    /// lease; the other side then has no complete request.
     order_socket(
         millis timeout, std::string sender, checkpoint before_send = [] {},
         std::size_t largest = one_segment);
 
+    /// Sends the message and waits for the response, both until `valid_until` at the
+    /// latest. `not_connected` means that nothing was sent.
     leaf::result<order_answer> send(order_message const&   message,
                                     boot_clock::time_point valid_until) const;
 
--- a/src/adapters/span_store.cpp
+++ b/src/adapters/span_store.cpp
@@ -1,4 +1,4 @@
-// Spans in OpenTelemetry's JSON form.
+// Keeps spans and formats them in OpenTelemetry's JSON form.
 #include "adapters/span_store.hpp"
 
 #include <nlohmann/json.hpp>
--- a/src/adapters/span_store.hpp
+++ b/src/adapters/span_store.hpp
@@ -1,4 +1,4 @@
-// Keeps the newest spans for `explain`, and writes all of them as JSON lines if asked to.
+// Keeps the newest spans for `explain` and can write all of them to a file as JSON lines.
 //
 // Index: span_store, span_scope
 #ifndef MARIGOLDCRANK_ADAPTERS_SPAN_STORE_HPP
@@ -21,15 +21,16 @@
 class span_store
 {
 public:
-    /// Keeps `capacity` spans; writes JSON lines to `file` unless it is empty.
+    /// Keeps the newest `capacity` spans; appends each span to `file` unless that is
+    /// empty.
     span_store(std::string node, std::size_t capacity, std::string const& file);
 
     void add(span value);
 
-    /// The kept spans of a request id or trace id, in the order in which they ended.
+    /// The kept spans with this request id or trace id, in the order in which they ended.
     std::vector<span> find(std::string const& id) const;
 
-    /// A span in OpenTelemetry's JSON form (one resourceSpans object).
+    /// Formats a span in OpenTelemetry's JSON form (one resourceSpans object).
     std::string format(span const& value) const;
 
 private:
@@ -40,7 +41,7 @@
     std::ofstream      file_;
 };
 
-/// Records one hop from its construction to its destruction.
+/// A span of one hop from construction to destruction, then added to the store.
 class span_scope
 {
 public:
@@ -50,8 +51,8 @@
     span_scope(span_scope const&) = delete;
     span_scope& operator=(span_scope const&) = delete;
 
-    void          note(std::string name, std::string value);
-    trace_context context() const; // for the next hop
+    void          note(std::string name, std::string value); // adds an attribute
+    trace_context context() const;                           // parent of the next hop
 
 private:
     span_store& store_;
--- a/src/adapters/sse_reader.hpp
+++ b/src/adapters/sse_reader.hpp
@@ -1,4 +1,4 @@
-// Cuts a byte stream of server-sent events into the data of single events.
+// Splits a byte stream of server-sent events into the data of single events.
 //
 // Index: sse_reader
 #ifndef MARIGOLDCRANK_ADAPTERS_SSE_READER_HPP
@@ -10,11 +10,13 @@
 namespace marigoldcrank
 {
 
-/// Feed bytes in any pieces; the handler gets the text behind `data: ` of each event.
+/// Takes bytes in pieces of any size; the handler gets the text behind `data: ` of each
+/// event. Other events are skipped.
 class sse_reader
 {
 public:
-    /// Returns false as soon as the handler does, or if an event grows beyond all bounds.
+    /// Returns false as soon as the handler does, or if an incomplete event is larger
+    /// than 1 MiB.
     template <class Handler>
     bool feed(std::string_view bytes, Handler&& handler)
     {
@@ -37,7 +39,7 @@
 
 private:
     static constexpr std::string_view field = "data: ";
-    static constexpr std::size_t      most_bytes = 1U << 20U; // of one event
+    static constexpr std::size_t      most_bytes = 1U << 20U; // bytes of one event
 
     std::string buffer_;
 };
--- a/src/adapters/zmq_peers.cpp
+++ b/src/adapters/zmq_peers.cpp
@@ -1,4 +1,4 @@
-// Messages between entry VMs over ZeroMQ.
+// Sends and receives messages between entry VMs over ZeroMQ.
 //
 // Index: 1 state, 2 socket thread, 3 public members
 #include "adapters/zmq_peers.hpp"
@@ -19,8 +19,8 @@
 namespace
 {
 constexpr char const* outbox_address = "inproc://outbox";
-constexpr millis      poll_interval{100};
-constexpr int         queue_limit = 1000; // messages waiting for a peer that is away
+constexpr millis      poll_interval{100}; // ms
+constexpr int         queue_limit = 1000; // messages that wait for an unreachable peer
 constexpr char const* everyone = "";
 } // namespace
 
@@ -28,15 +28,15 @@
 
 struct zmq_peers::state
 {
-    millis                               dead_after;
-    handler                              on_message;
-    zmq::context_t                       context{1};
-    zmq::socket_t                        outbox_in{context, zmq::socket_type::push};
-    std::mutex                           outbox_mutex; // a ZeroMQ socket has one user
-    zmq::socket_t                        outbox_out{context, zmq::socket_type::pull};
-    zmq::socket_t                        inbox{context, zmq::socket_type::router};
-    std::map<std::string, zmq::socket_t> outgoing;
-    mutable std::mutex                   heard_mutex;
+    millis         dead_after;
+    handler        on_message;
+    zmq::context_t context{1};
+    zmq::socket_t  outbox_in{context, zmq::socket_type::push};
+    std::mutex     outbox_mutex; // a ZeroMQ socket allows one thread at a time
+    zmq::socket_t  outbox_out{context, zmq::socket_type::pull};
+    zmq::socket_t  inbox{context, zmq::socket_type::router};
+    std::map<std::string, zmq::socket_t>          outgoing;
+    mutable std::mutex                            heard_mutex;
     std::map<std::string, boot_clock::time_point> heard;
     std::atomic<std::uint64_t>                    sent{0};
     std::atomic<std::uint64_t>                    received{0};
@@ -53,7 +53,7 @@
 
 namespace
 {
-/// Heartbeats make ZeroMQ drop and reopen a connection that went silent for good.
+/// Heartbeats make ZeroMQ close and reopen a connection that has gone silent for good.
 void configure(zmq::socket_t& socket, settings const& options)
 {
     socket.set(zmq::sockopt::linger, 0);
@@ -106,8 +106,8 @@
                 continue;
             }
             zmq::message_t copy(data.data(), data.size());
-            // A peer that is away fills its queue; what does not fit is lost, and the
-            // next heartbeat says the state again.
+            // An unreachable peer fills its queue. A message that does not fit is lost;
+            // the next heartbeat sends the state again.
             if (socket.send(copy, zmq::send_flags::dontwait))
             {
                 sent += data.size();
@@ -158,9 +158,9 @@
     {
         return;
     }
-    // The handler posts from the socket thread, which alone empties the outbox: waiting
-    // for room there would stop both for ever. What does not fit is lost like any other
-    // message; the next heartbeat says the state again.
+    // The handler posts from the socket thread, and only this thread empties the outbox:
+    // a wait for room there would be a deadlock. A message that does not fit is lost like
+    // any other; the next heartbeat sends the state again.
     auto const more = zmq::send_flags::sndmore | zmq::send_flags::dontwait;
     if (outbox_in.send(zmq::buffer(name), more))
     {
--- a/tests/concurrent/shared_state_test.cpp
+++ b/tests/concurrent/shared_state_test.cpp
@@ -1,4 +1,4 @@
-// Objects that several threads share; the thread sanitizer watches these tests in CI.
+// Objects that several threads share; CI runs these tests under the thread sanitizer.
 #include "adapters/http_server.hpp"
 #include "adapters/metrics.hpp"
 #include "adapters/span_store.hpp"
@@ -58,7 +58,7 @@
     EXPECT_NE(text.find("marigoldcrank_wait_seconds_count 2000"), std::string::npos);
 }
 
-TEST(shared_state, directory_counts_own_work_back_to_zero)
+TEST(shared_state, directory_work_counts_return_to_zero)
 {
     server_directory     directory;
     backend_server const server{.id = "engine-1", .group = "wording"};
@@ -80,7 +80,7 @@
     EXPECT_EQ(views[0].own_prompt_tokens, 0);
 }
 
-TEST(shared_state, answer_stream_hands_over_every_token_in_order)
+TEST(shared_state, answer_stream_delivers_every_token_in_order)
 {
     answer_stream stream;
     std::thread   producer(
@@ -107,7 +107,7 @@
     EXPECT_EQ(next, rounds);
 }
 
-TEST(shared_state, ledger_store_wakes_who_waits_for_a_record)
+TEST(shared_state, ledger_store_wakes_threads_that_wait_for_a_record)
 {
     std::atomic<int> changes{0};
     ledger_store     store([&] { ++changes; });
@@ -160,9 +160,9 @@
     EXPECT_EQ(right.live(), std::vector<std::string>{"left"});
 }
 
-/// Story: callers open more connections than the entry VM has threads; each waits for an
-/// answer that never comes. Cause: the library queues connections without a bound.
-TEST(shared_state, connections_beyond_the_threads_are_refused_at_once)
+/// Callers open more connections than the VM has threads, and some wait without a
+/// response: by default the library queues connections without a bound.
+TEST(shared_state, connections_beyond_the_thread_count_are_refused_at_once)
 {
     httplib::Server   server;
     std::atomic<bool> release{false};
@@ -218,10 +218,10 @@
     EXPECT_EQ(served, 2);
 }
 
-/// Story: a failure hits all callers at once and all connect again in the same moment;
-/// some wait a second and are reset without an answer. Cause: the library's queue of five
-/// connections that wait to be accepted. Nothing accepts here, so what does not fit
-/// shows.
+/// Many callers reconnect at once after a failure; some wait a second and are reset
+/// without a response, because the library's listen backlog holds five connections.
+/// Nothing accepts connections in this test, so those beyond the backlog stay
+/// unconnected.
 TEST(shared_state, a_burst_of_connections_waits_to_be_accepted)
 {
     constexpr int     burst = 64;
--- a/tests/property/platform_decoders_property_test.cpp
+++ b/tests/property/platform_decoders_property_test.cpp
@@ -1,6 +1,6 @@
 // Decoders of the platform's bytes: any input gives a value or nothing, never a crash.
 //
-// Index: 1 any bytes, 2 damaged documents, 3 round trips, 4 dialect
+// Index: 1 arbitrary bytes, 2 damaged documents, 3 round trips, 4 dialect
 #include "platform/log_codec.hpp"
 #include "platform/platform_dialect.hpp"
 #include "platform/rules_decoder.hpp"
@@ -30,7 +30,7 @@
     R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,"state":"ready",)"
     R"("stage":"prefill","born":12,"sequence":4})";
 
-// 1. Any bytes
+// 1. Arbitrary bytes
 
 RC_GTEST_PROP(platform_decoders, any_bytes_give_a_value_or_nothing,
               (std::string const& bytes))
@@ -46,7 +46,7 @@
 
 // 2. Damaged documents
 
-/// Another value for one field of a document, of any type.
+/// A random value of any type for one field of a document.
 nlohmann::json any_value()
 {
     switch (*rc::gen::inRange(0, 7))
@@ -68,6 +68,7 @@
     }
 }
 
+/// The document with one random field replaced by a random value.
 std::string damaged(std::string const& text)
 {
     auto document = nlohmann::json::parse(text).flatten();
@@ -79,14 +80,15 @@
                                      nlohmann::json::error_handler_t::replace);
 }
 
-RC_GTEST_PROP(platform_decoders, fields_of_any_type_never_end_the_process, ())
+RC_GTEST_PROP(platform_decoders, fields_of_any_type_do_not_crash_the_decoders, ())
 {
     static_cast<void>(decode_rules(damaged(good_rules)));
     static_cast<void>(decode_server("id", damaged(good_server)));
 }
 
-// A limit of the wrong type or size, or in an unknown unit, must never be taken for none.
-RC_GTEST_PROP(platform_decoders, quotas_are_whole_or_marked_as_unreadable, ())
+// A quota with a value of the wrong type or size, or in an unknown unit, must not be read
+// as no quota.
+RC_GTEST_PROP(platform_decoders, invalid_quotas_are_marked_as_unreadable, ())
 {
     auto              document = nlohmann::json::parse(good_rules);
     auto&             entry = document["tenants"][0];
@@ -104,7 +106,7 @@
                                owner.quota->unstated >= 0));
 }
 
-TEST(platform_decoders, whole_rules_are_read)
+TEST(platform_decoders, complete_rules_are_decoded)
 {
     auto const rules = decode_rules(good_rules);
     ASSERT_TRUE(rules);
@@ -125,8 +127,9 @@
     EXPECT_EQ(rules->limits().header_bytes, 100);
 }
 
-// Entries of other writers: each must name no server, and none may be half believed.
-TEST(platform_decoders, entries_that_name_no_server)
+// Entries of other writers must be rejected as a whole: none may be read as a server in
+// part.
+TEST(platform_decoders, unusable_server_entries_are_rejected)
 {
     for (auto const* text :
          {"", "[]", "7", "{}", R"({"service":"s","address":"10.0.0.1:80"})",
@@ -150,7 +153,7 @@
 
 // 3. Round trips
 
-RC_GTEST_PROP(platform_decoders, framed_records_come_back,
+RC_GTEST_PROP(platform_decoders, framed_records_are_decoded_unchanged,
               (std::vector<std::string> const& records))
 {
     std::string const offsets(16, '\0');
@@ -160,7 +163,8 @@
     RC_ASSERT(chunk->from == 9U);
 }
 
-RC_GTEST_PROP(platform_decoders, cut_reads_are_no_reads, (std::string const& record))
+RC_GTEST_PROP(platform_decoders, truncated_reads_are_rejected,
+              (std::string const& record))
 {
     auto const whole = std::string(16, '\0') + frame_records({record + "x"});
     auto const cut = *rc::gen::inRange<std::size_t>(0, whole.size());
@@ -170,7 +174,7 @@
     }
 }
 
-RC_GTEST_PROP(platform_decoders, events_come_out_whole_and_unchanged,
+RC_GTEST_PROP(platform_decoders, split_events_are_complete_and_unchanged,
               (std::vector<std::string> const& texts))
 {
     std::string stream;
@@ -199,7 +203,7 @@
 
 // 4. Dialect
 
-RC_GTEST_PROP(platform_decoders, no_key_ever_goes_on, (std::string const& text))
+RC_GTEST_PROP(platform_decoders, api_keys_are_not_forwarded, (std::string const& text))
 {
     std::string key = "key";
     for (unsigned char const letter : text)
@@ -224,7 +228,7 @@
     RC_ASSERT(onward.count("X-Hop") == 0U);
 }
 
-TEST(platform_decoders, answers_say_who_answered_and_what_has_happened)
+TEST(platform_decoders, response_heads_are_parsed)
 {
     boost::beast::http::response_header<> head;
     head.result(421U);
--- a/tests/unit/event_log_test.cpp
+++ b/tests/unit/event_log_test.cpp
@@ -1,4 +1,4 @@
-// Log lines: bounded, quoted, and never in the way of a call.
+// Log lines: rate limit, quoting, sampling, and a log reader that stalls.
 #include "adapters/event_log.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// A pipe that nobody reads until asked.
+/// A pipe that is read only on request.
 class quiet_pipe
 {
 public:
@@ -19,7 +19,7 @@
     {
         EXPECT_EQ(::pipe2(ends_, O_NONBLOCK), 0);
         ::fcntl(ends_[1], F_SETPIPE_SZ, 4096);
-        ::fcntl(ends_[1], F_SETFL, 0); // a write that can't go on would block
+        ::fcntl(ends_[1], F_SETFL, 0); // a write to a full pipe would block
     }
 
     ~quiet_pipe()
@@ -54,9 +54,9 @@
     return boot_clock::time_point{std::chrono::seconds{second}};
 }
 
-// The reader of the logs hangs. A daemon that blocks on its log serves nobody; it must
-// drop, count, and go on, and say later how many lines are missing.
-TEST(event_log, reader_that_stalls_costs_lines_and_no_time)
+// The reader of the log stalls and the pipe fills. A log that blocks there would stop the
+// daemon; it must drop lines, count them and continue.
+TEST(event_log, stalled_reader_drops_lines_without_blocking)
 {
     quiet_pipe pipe;
     event_log  log({.lines_per_s = 100'000, .sample = 1, .buffer_bytes = 8192},
@@ -78,7 +78,7 @@
     EXPECT_NE(pipe.read_all().find("ev=after"), std::string::npos);
 }
 
-TEST(event_log, lines_a_second_are_bounded_and_the_rest_is_told)
+TEST(event_log, lines_beyond_the_rate_limit_are_dropped_and_reported)
 {
     quiet_pipe pipe;
     event_log  log({.lines_per_s = 10, .sample = 1}, pipe.write_end());
@@ -92,8 +92,8 @@
     EXPECT_NE(pipe.read_all().find("ev=lines_dropped count=40"), std::string::npos);
 }
 
-// A header value with a line break must not forge a line of its own.
-TEST(event_log, values_can_not_forge_lines)
+// A value from a header that contains a line break must not produce a line of its own.
+TEST(event_log, values_can_not_inject_lines)
 {
     event_line line{"end"};
     line.add("id", "a b\n ev=forged").add("empty", "").add("quote", "\"=\\");
@@ -101,7 +101,7 @@
               "ev=end id=\"a b\\x0a ev=forged\" empty=\"\" quote=\"\\\"=\\\\\"");
 }
 
-TEST(event_log, a_sampled_call_is_sampled_everywhere)
+TEST(event_log, sampling_of_a_call_is_the_same_in_every_log)
 {
     event_log const one({.sample = 4});
     event_log const other({.sample = 4});
--- a/tests/unit/http_backend_test.cpp
+++ b/tests/unit/http_backend_test.cpp
@@ -1,4 +1,4 @@
-// The engine adapter before engines that send nonsense.
+// http_backend with engines that send malformed reports and events.
 #include "adapters/http_backend.hpp"
 
 #include <httplib.h>
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// An engine in the test process that answers everything with one text.
+/// An engine in the test process that answers every request with the same text.
 class fake_engine
 {
 public:
@@ -45,7 +45,7 @@
     std::thread     thread_;
 };
 
-/// The running streams it reports; -1 for a failure.
+/// The number of running streams that is read from the report; -1 for a failure.
 std::int64_t running_of(std::string const& report)
 {
     fake_engine  engine(report);
@@ -59,7 +59,7 @@
         [] { return std::int64_t{-1}; });
 }
 
-TEST(http_backend, reads_load_fields_of_other_types_as_missing)
+TEST(http_backend, reads_load_fields_of_the_wrong_type_as_missing)
 {
     EXPECT_EQ(running_of(R"({"running":3})"), 3);
     EXPECT_EQ(running_of(R"({"running":"many","role":7,"lag_ms":null,"leaving":1})"), 0);
@@ -67,7 +67,7 @@
     EXPECT_EQ(running_of("nonsense"), -1);
 }
 
-TEST(http_backend, passes_events_of_other_types_on_as_of_no_request)
+TEST(http_backend, passes_on_malformed_events_without_a_request_id)
 {
     fake_engine  engine("data: {\"request_id\":7,\"attempt\":\"x\",\"last\":2}\n\n");
     http_backend backend({}, millis{500}, "node");
