--- a/src/adapters/caller_connection.cpp
+++ b/src/adapters/caller_connection.cpp
@@ -15,9 +15,9 @@
 namespace
 {
 constexpr int no_socket = -1;
-constexpr int most_descriptors = 65'536;
+constexpr int max_descriptors = 65'536;
 
-bool leads_to(int descriptor, std::string const& host, int port)
+bool is_connected_to(int descriptor, std::string const& host, int port)
 {
     sockaddr_in address{};
     socklen_t   size = sizeof address;
@@ -36,10 +36,10 @@
     rlimit limit{};
     getrlimit(RLIMIT_NOFILE, &limit);
     auto const end = static_cast<int>(
-        std::min<rlim_t>(limit.rlim_cur, static_cast<rlim_t>(most_descriptors)));
+        std::min<rlim_t>(limit.rlim_cur, static_cast<rlim_t>(max_descriptors)));
     for (int descriptor = 0; descriptor < end; ++descriptor)
     {
-        if (leads_to(descriptor, host, port))
+        if (is_connected_to(descriptor, host, port))
         {
             return descriptor;
         }
--- a/src/adapters/event_log.cpp
+++ b/src/adapters/event_log.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t pipe_atomic_bytes =
     4096; // a pipe that polls as writable accepts this many without blocking
 
-bool plain(std::string_view value)
+bool needs_no_quotes(std::string_view value)
 {
     return !value.empty() && std::all_of(value.begin(), value.end(),
                                          [](unsigned char letter)
@@ -65,7 +65,7 @@
     text_.push_back(' ');
     text_ += name;
     text_.push_back('=');
-    if (plain(value))
+    if (needs_no_quotes(value))
     {
         text_ += value;
     }
@@ -105,16 +105,16 @@
 
 bool event_log::admit(boot_clock::time_point now)
 {
-    if (now - second_ >= std::chrono::seconds{1})
+    if (now - second_start_ >= std::chrono::seconds{1})
     {
-        second_ = now;
-        lines_ = 0;
+        second_start_ = now;
+        lines_this_second_ = 0;
     }
-    bool const room =
-        lines_ < options_.lines_per_s && waiting_.size() < options_.buffer_bytes;
-    lines_ += room ? 1 : 0;
-    dropped_ += room ? 0 : 1;
-    return room;
+    bool const admitted = lines_this_second_ < options_.lines_per_s &&
+                          buffer_.size() < options_.buffer_bytes;
+    lines_this_second_ += admitted ? 1 : 0;
+    dropped_ += admitted ? 0 : 1;
+    return admitted;
 }
 
 void event_log::write(event_line const& line, boot_clock::time_point now)
@@ -123,11 +123,11 @@
     {
         return;
     }
-    waiting_ += "t=";
-    waiting_ += std::to_string(unix_millis());
-    waiting_.push_back(' ');
-    waiting_ += line.text();
-    waiting_.push_back('\n');
+    buffer_ += "t=";
+    buffer_ += std::to_string(unix_millis());
+    buffer_.push_back(' ');
+    buffer_ += line.text();
+    buffer_.push_back('\n');
 }
 
 void event_log::write_step(std::string_view id, event_line const& line,
@@ -141,26 +141,26 @@
 
 void event_log::flush(boot_clock::time_point now)
 {
-    if (dropped_ != told_ && lines_ < options_.lines_per_s)
+    if (dropped_ != reported_drops_ && lines_this_second_ < options_.lines_per_s)
     {
-        auto const lost = static_cast<std::int64_t>(dropped_ - told_);
-        told_ = dropped_;
-        write(event_line{"lines_dropped"}.add("count", lost), now);
+        auto const unreported = static_cast<std::int64_t>(dropped_ - reported_drops_);
+        reported_drops_ = dropped_;
+        write(event_line{"lines_dropped"}.add("count", unreported), now);
     }
-    while (!waiting_.empty())
+    while (!buffer_.empty())
     {
         pollfd descriptor{descriptor_, POLLOUT, 0};
         if (::poll(&descriptor, 1, 0) != 1 || (descriptor.revents & POLLOUT) == 0)
         {
             return;
         }
-        auto const written = ::write(descriptor_, waiting_.data(),
-                                     std::min(waiting_.size(), pipe_atomic_bytes));
+        auto const written = ::write(descriptor_, buffer_.data(),
+                                     std::min(buffer_.size(), pipe_atomic_bytes));
         if (written <= 0)
         {
             return; // the next flush tries again; the buffer is bounded
         }
-        waiting_.erase(0, static_cast<std::size_t>(written));
+        buffer_.erase(0, static_cast<std::size_t>(written));
     }
 }
 
--- a/src/adapters/event_log.hpp
+++ b/src/adapters/event_log.hpp
@@ -75,11 +75,11 @@
 
     event_log_options      options_;
     int                    descriptor_;
-    std::string            waiting_;
-    boot_clock::time_point second_{};
-    std::int64_t           lines_ = 0; // admitted in the current second
+    std::string            buffer_;
+    boot_clock::time_point second_start_{};
+    std::int64_t           lines_this_second_ = 0; // admitted in the current second
     std::uint64_t          dropped_ = 0;
-    std::uint64_t          told_ = 0; // dropped lines that a log line has reported
+    std::uint64_t          reported_drops_ = 0; // those that the log has reported
 };
 
 } // namespace marigoldcrank
--- a/src/adapters/exchange_watch.cpp
+++ b/src/adapters/exchange_watch.cpp
@@ -8,17 +8,17 @@
 
 namespace
 {
-constexpr millis tick{10}; // ms between two checks of all deadlines
+constexpr millis check_interval{10}; // ms between two checks of all deadlines
 } // namespace
 
 exchange_watch::guard::guard(exchange_watch& watch, httplib::Client& client,
-                             boot_clock::time_point until)
+                             boot_clock::time_point deadline)
     : watch_(watch)
 {
     std::lock_guard const lock(watch_.mutex_);
     position_ = watch_.entries_.emplace(watch_.entries_.end());
     position_->client = &client;
-    move_end(until);
+    move_deadline(deadline);
     watch_.changed_.notify_one();
 }
 
@@ -30,19 +30,19 @@
 bool exchange_watch::guard::release()
 {
     std::lock_guard const lock(watch_.mutex_);
-    if (!watching_)
+    if (!registered_)
     {
         return false;
     }
-    bool const ended = position_->expired;
+    bool const was_expired = position_->expired;
     watch_.entries_.erase(position_);
-    watching_ = false;
-    return ended;
+    registered_ = false;
+    return was_expired;
 }
 
-void exchange_watch::guard::move_end(boot_clock::time_point until) noexcept
+void exchange_watch::guard::move_deadline(boot_clock::time_point deadline) noexcept
 {
-    position_->until = until.time_since_epoch().count();
+    position_->deadline = deadline.time_since_epoch().count();
 }
 
 bool exchange_watch::guard::expired() const noexcept
@@ -68,17 +68,17 @@
     while (!stopping_)
     {
         changed_.wait(lock, [&] { return stopping_ || !entries_.empty(); });
-        end_expired();
-        changed_.wait_for(lock, tick, [&] { return stopping_; });
+        stop_expired();
+        changed_.wait_for(lock, check_interval, [&] { return stopping_; });
     }
 }
 
-void exchange_watch::end_expired()
+void exchange_watch::stop_expired()
 {
     auto const now = boot_clock::now().time_since_epoch().count();
     for (auto& each : entries_)
     {
-        if (now >= each.until)
+        if (now >= each.deadline)
         {
             // Repeated on every tick: a stop between two steps of the library, before its
             // socket counts as in use, has no effect. While a client connects, stop()
--- a/src/adapters/exchange_watch.hpp
+++ b/src/adapters/exchange_watch.hpp
@@ -36,13 +36,13 @@
     {
     public:
         guard(exchange_watch& watch, httplib::Client& client,
-              boot_clock::time_point until);
+              boot_clock::time_point deadline);
         ~guard();
         guard(guard const&) = delete;
         guard& operator=(guard const&) = delete;
 
         /// Changes the deadline; takes no lock.
-        void move_end(boot_clock::time_point until) noexcept;
+        void move_deadline(boot_clock::time_point deadline) noexcept;
 
         /// True if the watch has ended the exchange.
         bool expired() const noexcept;
@@ -55,7 +55,7 @@
     private:
         exchange_watch&            watch_;
         std::list<entry>::iterator position_;
-        bool                       watching_ = true;
+        bool                       registered_ = true;
     };
 
     exchange_watch();
@@ -65,12 +65,12 @@
     struct entry
     {
         httplib::Client*             client = nullptr;
-        std::atomic<boot_clock::rep> until{0}; // nanoseconds since boot
+        std::atomic<boot_clock::rep> deadline{0}; // nanoseconds since boot
         std::atomic<bool>            expired{false};
     };
 
     void run();
-    void end_expired();
+    void stop_expired();
 
     std::mutex              mutex_;
     std::condition_variable changed_;
--- a/src/adapters/http_backend.cpp
+++ b/src/adapters/http_backend.cpp
@@ -26,7 +26,7 @@
 
 // 1. Events
 
-constexpr millis closing_grace{50}; // ms to read the end of a complete response stream
+constexpr millis stream_end_timeout{50}; // ms to read the end of a complete response
 
 /// An event that is not a JSON object becomes an event without a request id; the receiver
 /// drops it.
@@ -66,9 +66,9 @@
 /// The library reports a timeout and a broken connection as the same read error; the
 /// deadline and the time since the last byte tell them apart.
 transport_fault read_fault(httplib::Error error, bool expired,
-                           boot_clock::time_point last_byte, millis silence)
+                           boot_clock::time_point last_byte, millis max_silence)
 {
-    if (expired || boot_clock::now() - last_byte >= silence)
+    if (expired || boot_clock::now() - last_byte >= max_silence)
     {
         return transport_fault::silent;
     }
@@ -79,8 +79,8 @@
 /// A kept-alive connection can go silent for good while new ones work; the other idle
 /// connections of that server are then silent too. All of them are closed, so that the
 /// next attempt, also at this server, opens a new connection.
-void drop_idle_after(http_client_pool& clients, httplib::Error error,
-                     backend_server const& server)
+void drop_idle_after_failure(http_client_pool& clients, httplib::Error error,
+                             backend_server const& server)
 {
     if (error != httplib::Error::Canceled)
     {
@@ -106,27 +106,27 @@
 leaf::result<void> http_backend::stream(backend_server const& server,
                                         engine_call const& call, event_sink const& sink)
 {
-    auto const silence = clients_.timeouts().silence;
-    auto const limit = [&]
+    auto const max_silence = clients_.timeouts().max_silence;
+    auto const next_deadline = [&]
     {
-        return std::min(call.deadline, boot_clock::now() + silence);
+        return std::min(call.deadline, boot_clock::now() + max_silence);
     };
     auto                  client = clients_.take(server.host, server.port);
-    exchange_watch::guard watched(watch_, *client, limit());
+    exchange_watch::guard deadline_guard(watch_, *client, next_deadline());
     sse_reader            reader;
     int                   status = 0;
     bool                  complete = false;
     auto                  last_byte = boot_clock::now();
-    auto const            take = [&](std::string_view event)
+    auto const            on_event = [&](std::string_view event)
     {
         auto const verdict = sink(parse_event(event));
         if (verdict == event_verdict::progress)
         {
-            watched.move_end(limit());
+            deadline_guard.move_deadline(next_deadline());
         }
         if (verdict == event_verdict::complete && !std::exchange(complete, true))
         {
-            watched.move_end(boot_clock::now() + closing_grace);
+            deadline_guard.move_deadline(boot_clock::now() + stream_end_timeout);
         }
         return true;
     };
@@ -140,31 +140,32 @@
         [&](char const* data, std::size_t size, std::uint64_t, std::uint64_t)
     {
         last_byte = boot_clock::now();
-        return status != status_ok || reader.feed({data, size}, take);
+        return status != status_ok || reader.feed({data, size}, on_event);
     };
-    auto const answer = client->send(request);
-    if (!answer)
+    auto const response = client->send(request);
+    if (!response)
     {
         if (complete)
         {
             return {};
         }
-        drop_idle_after(clients_, answer.error(), server);
-        return leaf::new_error(transport_failure{
-            read_fault(answer.error(), watched.expired(), last_byte, silence), server.id,
-            0});
+        drop_idle_after_failure(clients_, response.error(), server);
+        return leaf::new_error(
+            transport_failure{read_fault(response.error(), deadline_guard.expired(),
+                                         last_byte, max_silence),
+                              server.id, 0});
     }
-    if (answer->status != status_ok)
+    if (response->status != status_ok)
     {
         return leaf::new_error(
-            transport_failure{transport_fault::refused, server.id, answer->status});
+            transport_failure{transport_fault::refused, server.id, response->status});
     }
-    return keep(server, std::move(client), watched.release());
+    return return_client(server, std::move(client), deadline_guard.release());
 }
 
-leaf::result<void> http_backend::keep(backend_server const&            server,
-                                      std::unique_ptr<httplib::Client> client,
-                                      bool                             expired)
+leaf::result<void> http_backend::return_client(backend_server const&            server,
+                                               std::unique_ptr<httplib::Client> client,
+                                               bool                             expired)
 {
     if (!expired)
     {
@@ -183,10 +184,10 @@
     // connected" proves that the service received nothing, so that a refusal may state
     // that the call was not run. The library resends a request by itself only over TLS,
     // so a plain connection sends it once.
-    http_client_pool fresh(clients_.timeouts());
-    auto             client = fresh.take(server.host, server.port);
+    http_client_pool unshared_clients(clients_.timeouts());
+    auto             client = unshared_clients.take(server.host, server.port);
     client->set_keep_alive(false);
-    exchange_watch::guard watched(watch_, *client, service.deadline);
+    exchange_watch::guard deadline_guard(watch_, *client, service.deadline);
     httplib::Request      request;
     request.method = service.method;
     request.path = service.path;
@@ -198,13 +199,13 @@
     {
         request.headers.emplace("Content-Type", service.content_type);
     }
-    auto const answer = client->send(request);
-    if (!answer)
+    auto const response = client->send(request);
+    if (!response)
     {
-        return transport_error(answer.error(), server.id);
+        return transport_error(response.error(), server.id);
     }
-    return service_answer{answer->status, answer->get_header_value("Content-Type"),
-                          answer->body};
+    return service_answer{response->status, response->get_header_value("Content-Type"),
+                          response->body};
 }
 
 // 4. Cancel and load
@@ -213,10 +214,10 @@
                           std::uint64_t attempt)
 {
     auto       client = clients_.take(server.host, server.port);
-    auto const answer = client->Post(
+    auto const response = client->Post(
         "/cancel", {{"X-Sender", sender_}},
         json{{"request_id", request_id}, {"attempt", attempt}}.dump(), json_type);
-    if (answer)
+    if (response)
     {
         clients_.put_back(server.host, server.port, std::move(client));
     }
@@ -226,20 +227,21 @@
 {
     auto       client = load_clients_.take(server.host, server.port);
     auto const begun = boot_clock::now();
-    auto const answer = client->Get("/load", {{"X-Sender", sender_}});
-    if (!answer)
+    auto const response = client->Get("/load", {{"X-Sender", sender_}});
+    if (!response)
     {
         load_clients_.drop_idle(server.host, server.port);
-        drop_idle_after(clients_, answer.error(), server);
+        drop_idle_after_failure(clients_, response.error(), server);
         // A process that ends closes its connections before it stops listening. A new
         // connection made in between breaks at once and must not be reported as silent.
-        return leaf::new_error(transport_failure{
-            read_fault(answer.error(), false, begun, load_clients_.timeouts().silence),
-            server.id, 0});
+        return leaf::new_error(
+            transport_failure{read_fault(response.error(), false, begun,
+                                         load_clients_.timeouts().max_silence),
+                              server.id, 0});
     }
     load_clients_.put_back(server.host, server.port, std::move(client));
-    auto const body = json::parse(answer->body, nullptr, false);
-    if (answer->status != status_ok || !body.is_object())
+    auto const body = json::parse(response->body, nullptr, false);
+    if (response->status != status_ok || !body.is_object())
     {
         return leaf::new_error(message_failure{"load report", "not a JSON object"});
     }
--- a/src/adapters/http_client_pool.cpp
+++ b/src/adapters/http_client_pool.cpp
@@ -12,14 +12,14 @@
 {
 constexpr std::size_t max_idle_per_address = 64;
 constexpr millis      max_idle_age{4000}; // ms; below the servers' usual keep-alive time
-constexpr millis      sweep_every{1000};  // ms
+constexpr millis      sweep_interval{1000}; // ms
 
 /// TCP_USER_TIMEOUT ends a connection whose sent bytes are not acknowledged. A read
 /// timeout alone does not detect that while the kernel retransmits.
-void guard_socket(int socket, millis silence)
+void set_tcp_timeouts(int socket, millis max_silence)
 {
     int const          on = 1;
-    unsigned int const limit = static_cast<unsigned int>(silence.count());
+    unsigned int const limit = static_cast<unsigned int>(max_silence.count());
     setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
     setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit);
 }
@@ -33,7 +33,7 @@
 {
     {
         std::lock_guard const lock(mutex_);
-        drop_old(boot_clock::now());
+        evict_old(boot_clock::now());
         auto const found = idle_.find({host, port});
         if (found != idle_.end() && !found->second.empty())
         {
@@ -46,10 +46,10 @@
     client->set_keep_alive(true);
     client->set_tcp_nodelay(true);
     client->set_connection_timeout(timeouts_.connect);
-    client->set_read_timeout(timeouts_.silence);
-    client->set_write_timeout(timeouts_.silence);
-    client->set_socket_options([silence = timeouts_.silence](int socket)
-                               { guard_socket(socket, silence); });
+    client->set_read_timeout(timeouts_.max_silence);
+    client->set_write_timeout(timeouts_.max_silence);
+    client->set_socket_options([max_silence = timeouts_.max_silence](int socket)
+                               { set_tcp_timeouts(socket, max_silence); });
     return client;
 }
 
@@ -58,7 +58,7 @@
 {
     std::lock_guard const lock(mutex_);
     auto const            now = boot_clock::now();
-    drop_old(now);
+    evict_old(now);
     auto& idle = idle_[{host, port}];
     if (idle.size() < max_idle_per_address)
     {
@@ -76,7 +76,7 @@
 {
     std::lock_guard const lock(mutex_);
     std::size_t           count = 0;
-    for (auto const& [where, clients] : idle_)
+    for (auto const& [endpoint, clients] : idle_)
     {
         count += clients.size();
     }
@@ -86,17 +86,17 @@
 /// Servers are replaced all the time, and no request takes the clients of a server that
 /// is gone: without this sweep each would keep a descriptor for ever. Old connections may
 /// also have gone silent.
-void http_client_pool::drop_old(boot_clock::time_point now)
+void http_client_pool::evict_old(boot_clock::time_point now)
 {
-    if (now - swept_ < sweep_every)
+    if (now - last_sweep_ < sweep_interval)
     {
         return;
     }
-    swept_ = now;
-    for (auto& [where, clients] : idle_)
+    last_sweep_ = now;
+    for (auto& [endpoint, clients] : idle_)
     {
         std::erase_if(clients, [&](idle_client const& idle)
-                      { return now - idle.since > max_idle_age; });
+                      { return now - idle.idle_since > max_idle_age; });
     }
     std::erase_if(idle_, [](auto const& entry) { return entry.second.empty(); });
 }
--- a/src/adapters/http_client_pool.hpp
+++ b/src/adapters/http_client_pool.hpp
@@ -24,8 +24,8 @@
 /// Timeouts of one exchange.
 struct http_timeouts
 {
-    millis connect{500};  // 500   ms to open a connection
-    millis silence{3000}; // 3000  ms, the longest time without a byte
+    millis connect{500};      // 500   ms to open a connection
+    millis max_silence{3000}; // 3000  ms, the longest time without a byte
 };
 
 /// Idle clients by address; safe to use from several threads. A client whose exchange
@@ -57,15 +57,15 @@
     struct idle_client
     {
         std::unique_ptr<httplib::Client> client;
-        boot_clock::time_point           since;
+        boot_clock::time_point           idle_since;
     };
 
-    void drop_old(boot_clock::time_point now); // the caller holds mutex_
+    void evict_old(boot_clock::time_point now); // the caller holds mutex_
 
     http_timeouts                               timeouts_;
     mutable std::mutex                          mutex_;
     std::map<address, std::vector<idle_client>> idle_;
-    boot_clock::time_point                      swept_{};
+    boot_clock::time_point                      last_sweep_{};
 };
 
 } // namespace marigoldcrank
--- a/src/adapters/http_engine_state.cpp
+++ b/src/adapters/http_engine_state.cpp
@@ -19,14 +19,14 @@
     using nlohmann::json;
     constexpr int status_ok = 200;
     auto          client = clients_.take(server.host, server.port);
-    auto const    answer = client->Get("/state", {{"X-Sender", sender_}});
-    if (!answer)
+    auto const    response = client->Get("/state", {{"X-Sender", sender_}});
+    if (!response)
     {
-        return transport_error(answer.error(), server.id);
+        return transport_error(response.error(), server.id);
     }
     clients_.put_back(server.host, server.port, std::move(client));
-    auto const body = json::parse(answer->body, nullptr, false);
-    if (answer->status != status_ok || !body.is_object())
+    auto const body = json::parse(response->body, nullptr, false);
+    if (response->status != status_ok || !body.is_object())
     {
         return leaf::new_error(message_failure{"engine state", "not a JSON object"});
     }
--- a/src/adapters/http_platform.cpp
+++ b/src/adapters/http_platform.cpp
@@ -24,7 +24,7 @@
 http_platform::http_platform(std::string host, int port, millis timeout,
                              std::string sender)
     : host_(std::move(host)), port_(port), sender_(std::move(sender)),
-      clients_({timeout, timeout}), log_readers_({timeout, timeout + log_read_margin})
+      clients_({timeout, timeout}), log_clients_({timeout, timeout + log_read_margin})
 {
 }
 
@@ -37,14 +37,14 @@
 constexpr std::uint64_t fixed_bytes = 160;
 } // namespace
 
-void http_platform::count(std::string const& path, std::string const& body,
-                          httplib::Result const& answer)
+void http_platform::count_bytes(std::string const& path, std::string const& body,
+                                httplib::Result const& response)
 {
     std::uint64_t sum = fixed_bytes + path.size() + body.size();
-    if (answer)
+    if (response)
     {
-        sum += answer->body.size();
-        for (auto const& [name, value] : answer->headers)
+        sum += response->body.size();
+        for (auto const& [name, value] : response->headers)
         {
             sum += name.size() + value.size();
         }
@@ -62,46 +62,46 @@
 leaf::result<std::uint64_t> http_platform::append(std::string const& text)
 {
     auto       client = clients_.take(host_, port_);
-    auto const answer =
+    auto const response =
         client->Post("/log/append", {{"X-Sender", sender_}}, text, json_type);
-    count("/log/append", text, answer);
-    if (!answer)
+    count_bytes("/log/append", text, response);
+    if (!response)
     {
         // A connection that was never opened carried nothing. After any other error the
         // response may have been lost, and the record may still take effect.
-        bool const unknown = fault_of(answer.error()) != transport_fault::not_connected;
+        bool const unknown = fault_of(response.error()) != transport_fault::not_connected;
         return leaf::new_error(append_failure{unknown});
     }
     clients_.put_back(host_, port_, std::move(client));
-    auto const body = json::parse(answer->body, nullptr, false);
-    if (answer->status != 200 || !body.is_object() || !body.contains("offset"))
+    auto const body = json::parse(response->body, nullptr, false);
+    if (response->status != 200 || !body.is_object() || !body.contains("offset"))
     {
-        return leaf::new_error(append_failure{answer->status == 200});
+        return leaf::new_error(append_failure{response->status == 200});
     }
     return body["offset"].get<std::uint64_t>();
 }
 
 leaf::result<log_page> http_platform::read(std::uint64_t from, millis wait)
 {
-    auto       client = log_readers_.take(host_, port_);
+    auto       client = log_clients_.take(host_, port_);
     auto const path = "/log/read?from=" + std::to_string(from) +
                       "&wait_ms=" + std::to_string(wait.count());
-    auto const answer = client->Get(path, {{"X-Sender", sender_}});
-    count(path, "", answer);
-    if (!answer)
+    auto const response = client->Get(path, {{"X-Sender", sender_}});
+    count_bytes(path, "", response);
+    if (!response)
     {
-        return transport_error(answer.error(), "platform");
+        return transport_error(response.error(), "platform");
     }
-    log_readers_.put_back(host_, port_, std::move(client));
-    auto const body = json::parse(answer->body, nullptr, false);
-    if (answer->status == status_gone && body.is_object())
+    log_clients_.put_back(host_, port_, std::move(client));
+    auto const body = json::parse(response->body, nullptr, false);
+    if (response->status == status_gone && body.is_object())
     {
         return leaf::new_error(log_gap{body.value("first_retained", std::uint64_t{1})});
     }
-    if (answer->status != 200 || !body.is_object() || !body.contains("records"))
+    if (response->status != 200 || !body.is_object() || !body.contains("records"))
     {
         return leaf::new_error(
-            transport_failure{transport_fault::refused, "platform", answer->status});
+            transport_failure{transport_fault::refused, "platform", response->status});
     }
     return log_page{body.value("first_retained", std::uint64_t{1}),
                     body.value("first", from),
@@ -130,18 +130,18 @@
 leaf::result<std::vector<backend_server>> http_platform::backend_servers()
 {
     auto       client = clients_.take(host_, port_);
-    auto const answer = client->Get("/vms", {{"X-Sender", sender_}});
-    count("/vms", "", answer);
-    if (!answer)
+    auto const response = client->Get("/vms", {{"X-Sender", sender_}});
+    count_bytes("/vms", "", response);
+    if (!response)
     {
-        return transport_error(answer.error(), "platform");
+        return transport_error(response.error(), "platform");
     }
     clients_.put_back(host_, port_, std::move(client));
-    auto const body = json::parse(answer->body, nullptr, false);
-    if (answer->status != 200 || !body.is_array())
+    auto const body = json::parse(response->body, nullptr, false);
+    if (response->status != 200 || !body.is_array())
     {
         return leaf::new_error(
-            transport_failure{transport_fault::refused, "platform", answer->status});
+            transport_failure{transport_fault::refused, "platform", response->status});
     }
     std::vector<backend_server> servers;
     for (auto const& entry : body)
--- a/src/adapters/http_platform.hpp
+++ b/src/adapters/http_platform.hpp
@@ -34,15 +34,15 @@
     std::uint64_t bytes() const noexcept;
 
 private:
-    void count(std::string const& path, std::string const& body,
-               httplib::Result const& answer);
+    void count_bytes(std::string const& path, std::string const& body,
+                     httplib::Result const& response);
 
     std::atomic<std::uint64_t> bytes_{0};
     std::string                host_;
     int                        port_;
     std::string                sender_;
     http_client_pool           clients_;
-    http_client_pool           log_readers_; // long polls; read timeout above the wait
+    http_client_pool           log_clients_; // long polls; read timeout above the wait
 };
 
 static_assert(platform_log_port<http_platform>);
--- a/src/adapters/http_server.cpp
+++ b/src/adapters/http_server.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 /// A group of threads and the tasks that wait for one of them.
-struct overflow_queue::lane
+struct overflow_queue::thread_group
 {
     std::mutex                        mutex;
     std::condition_variable           changed;
@@ -32,7 +32,7 @@
     bool                              stopping = false;
 
     /// Takes the task if a thread is idle; returns false otherwise.
-    bool offer(std::function<void()>& task)
+    bool try_enqueue(std::function<void()>& task)
     {
         std::lock_guard const lock(mutex);
         if (tasks.size() >= idle)
@@ -46,7 +46,7 @@
 
     /// Waits until the group's backlog has room; meanwhile the kernel's own bounded
     /// backlog holds new connections.
-    void insist(std::function<void()>& task)
+    void wait_and_enqueue(std::function<void()>& task)
     {
         std::unique_lock lock(mutex);
         changed.wait(lock,
@@ -57,7 +57,8 @@
 };
 
 overflow_queue::overflow_queue(std::size_t threads, std::size_t overflow_threads)
-    : serving_(std::make_unique<lane>()), refusing_(std::make_unique<lane>())
+    : serving_(std::make_unique<thread_group>()),
+      refusing_(std::make_unique<thread_group>())
 {
     serving_->idle = threads;
     refusing_->idle = overflow_threads;
@@ -75,19 +76,19 @@
 
 void overflow_queue::enqueue(std::function<void()> task)
 {
-    if (!serving_->offer(task))
+    if (!serving_->try_enqueue(task))
     {
-        refusing_->insist(task);
+        refusing_->wait_and_enqueue(task);
     }
 }
 
 void overflow_queue::shutdown()
 {
-    for (auto* own : {serving_.get(), refusing_.get()})
+    for (auto* group : {serving_.get(), refusing_.get()})
     {
-        std::lock_guard const lock(own->mutex);
-        own->stopping = true;
-        own->changed.notify_all();
+        std::lock_guard const lock(group->mutex);
+        group->stopping = true;
+        group->changed.notify_all();
     }
     for (auto& thread : threads_)
     {
@@ -101,27 +102,27 @@
     return refusing_thread;
 }
 
-void overflow_queue::run(lane& own, bool refuses)
+void overflow_queue::run(thread_group& group, bool refuses)
 {
     refusing_thread = refuses;
-    std::unique_lock lock(own.mutex);
+    std::unique_lock lock(group.mutex);
     while (true)
     {
-        own.changed.wait(lock, [&] { return own.stopping || !own.tasks.empty(); });
-        if (own.tasks.empty())
+        group.changed.wait(lock, [&] { return group.stopping || !group.tasks.empty(); });
+        if (group.tasks.empty())
         {
             return;
         }
-        auto task = std::move(own.tasks.front());
-        own.tasks.pop_front();
-        --own.idle;
-        own.changed.notify_all();
+        auto task = std::move(group.tasks.front());
+        group.tasks.pop_front();
+        --group.idle;
+        group.changed.notify_all();
         lock.unlock();
         task();
         task = nullptr;
         lock.lock();
-        ++own.idle;
-        own.changed.notify_all();
+        ++group.idle;
+        group.changed.notify_all();
     }
 }
 
@@ -129,7 +130,7 @@
 
 namespace
 {
-constexpr int waiting_connections = 1024; // maximum; the kernel may allow fewer
+constexpr int listen_backlog = 1024; // maximum; the kernel may allow fewer
 constexpr int keep_alive_s = 5;
 constexpr int keep_alive_requests = 100'000;
 constexpr int send_buffer_bytes = 128 * 1024;
@@ -142,10 +143,10 @@
 /// ends the latter where the kernel does not. The bounded send buffer lets both timeouts
 /// start after 128 KB. Otherwise the kernel would grow it to megabytes for each of
 /// hundreds of connections.
-void set_socket_options(int socket, millis silence)
+void set_socket_options(int socket, millis write_timeout)
 {
     int const          on = 1;
-    unsigned int const limit = static_cast<unsigned int>(silence.count());
+    unsigned int const limit = static_cast<unsigned int>(write_timeout.count());
     setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
     setsockopt(socket, SOL_SOCKET, SO_SNDBUF, &send_buffer_bytes,
@@ -163,13 +164,13 @@
 {
     int listener = -1;
     server.set_socket_options(
-        [&listener, silence = options.silence](int socket)
+        [&listener, write_timeout = options.write_timeout](int socket)
         {
             listener = socket;
-            set_socket_options(socket, silence);
+            set_socket_options(socket, write_timeout);
         });
     bool const bound = server.bind_to_port(host, port) && listener >= 0 &&
-                       ::listen(listener, waiting_connections) == 0;
+                       ::listen(listener, listen_backlog) == 0;
     configure(server, options);
     return bound;
 }
@@ -180,14 +181,14 @@
     {
         return new overflow_queue(options.threads, options.overflow_threads);
     };
-    server.set_socket_options([silence = options.silence](int socket)
-                              { set_socket_options(socket, silence); });
+    server.set_socket_options([write_timeout = options.write_timeout](int socket)
+                              { set_socket_options(socket, write_timeout); });
     server.set_tcp_nodelay(true);
-    server.set_payload_max_length(options.max_body);
+    server.set_payload_max_length(options.max_body_bytes);
     server.set_keep_alive_timeout(keep_alive_s);
     server.set_keep_alive_max_count(keep_alive_requests);
-    server.set_write_timeout(options.silence.count() / ms_per_s,
-                             options.silence.count() % ms_per_s * us_per_ms);
+    server.set_write_timeout(options.write_timeout.count() / ms_per_s,
+                             options.write_timeout.count() % ms_per_s * us_per_ms);
 }
 
 // 3. Refusals
--- a/src/adapters/http_server.hpp
+++ b/src/adapters/http_server.hpp
@@ -35,20 +35,20 @@
     static bool refusing() noexcept;
 
 private:
-    struct lane;
-    void run(lane& own, bool refuses);
+    struct thread_group;
+    void run(thread_group& group, bool refuses);
 
-    std::unique_ptr<lane>    serving_;
-    std::unique_ptr<lane>    refusing_;
-    std::vector<std::thread> threads_;
+    std::unique_ptr<thread_group> serving_;
+    std::unique_ptr<thread_group> refusing_;
+    std::vector<std::thread>      threads_;
 };
 
 struct http_server_options
 {
-    std::size_t threads = 256;        // 256      connections served at once
-    std::size_t overflow_threads = 4; // 4        threads that refuse connections
-    std::size_t max_body = 4194304;   // 4194304  bytes of one request body
-    millis      silence{10000}; // 10000    ms until a caller that reads nothing is cut
+    std::size_t threads = 256;            // 256      connections served at once
+    std::size_t overflow_threads = 4;     // 4        threads that refuse connections
+    std::size_t max_body_bytes = 4194304; // 4194304  bytes of one request body
+    millis      write_timeout{10000};     // 10000    ms a caller may read nothing
 };
 
 /// Applies the options, binds the port and listens with a backlog for a burst of new
--- a/src/adapters/lease_timer.cpp
+++ b/src/adapters/lease_timer.cpp
@@ -30,9 +30,9 @@
     int const saved = errno;
     if (guarded_socket != no_socket && info->si_value.sival_int == guarded_socket)
     {
-        sockaddr nowhere{};
-        nowhere.sa_family = AF_UNSPEC;
-        (void)::connect(guarded_socket, &nowhere, sizeof nowhere);
+        sockaddr unspecified{};
+        unspecified.sa_family = AF_UNSPEC;
+        (void)::connect(guarded_socket, &unspecified, sizeof unspecified);
     }
     errno = saved;
 }
@@ -57,10 +57,10 @@
 /// pending until after the send.
 void unblock_signal()
 {
-    sigset_t own;
-    sigemptyset(&own);
-    sigaddset(&own, lease_signal());
-    pthread_sigmask(SIG_UNBLOCK, &own, nullptr);
+    sigset_t signals;
+    sigemptyset(&signals);
+    sigaddset(&signals, lease_signal());
+    pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
 }
 
 itimerspec timer_at(boot_clock::time_point end)
--- a/src/adapters/logging.cpp
+++ b/src/adapters/logging.cpp
@@ -10,9 +10,9 @@
 
 namespace
 {
-char const* prefix_of(log_part part)
+char const* prefix_of(log_part component)
 {
-    switch (part)
+    switch (component)
     {
     case log_part::node:
         return "[node] ";
@@ -61,24 +61,24 @@
     el::Loggers::reconfigureAllLoggers(configurations);
 }
 
-void log_debug(log_part part, std::string const& sentence)
+void log_debug(log_part component, std::string const& message)
 {
-    LOG(DEBUG) << prefix_of(part) << sentence;
+    LOG(DEBUG) << prefix_of(component) << message;
 }
 
-void log_info(log_part part, std::string const& sentence)
+void log_info(log_part component, std::string const& message)
 {
-    LOG(INFO) << prefix_of(part) << sentence;
+    LOG(INFO) << prefix_of(component) << message;
 }
 
-void log_warning(log_part part, std::string const& sentence)
+void log_warning(log_part component, std::string const& message)
 {
-    LOG(WARNING) << prefix_of(part) << sentence;
+    LOG(WARNING) << prefix_of(component) << message;
 }
 
-void log_error(log_part part, std::string const& sentence)
+void log_error(log_part component, std::string const& message)
 {
-    LOG(ERROR) << prefix_of(part) << sentence;
+    LOG(ERROR) << prefix_of(component) << message;
 }
 
 } // namespace marigoldcrank
--- a/src/adapters/logging.hpp
+++ b/src/adapters/logging.hpp
@@ -29,10 +29,10 @@
 /// have no disks.
 void start_logging(std::string const& level);
 
-void log_debug(log_part part, std::string const& sentence);
-void log_info(log_part part, std::string const& sentence);
-void log_warning(log_part part, std::string const& sentence);
-void log_error(log_part part, std::string const& sentence);
+void log_debug(log_part component, std::string const& message);
+void log_info(log_part component, std::string const& message);
+void log_warning(log_part component, std::string const& message);
+void log_error(log_part component, std::string const& message);
 
 } // namespace marigoldcrank
 
--- a/src/adapters/metrics.cpp
+++ b/src/adapters/metrics.cpp
@@ -60,7 +60,7 @@
 
 metrics::~metrics() = default;
 
-metrics::shard& metrics::own_shard() const
+metrics::shard& metrics::thread_shard() const
 {
     static std::atomic<std::size_t> next{0};
     thread_local std::size_t const  index = next++ % shard_count;
@@ -70,17 +70,17 @@
 void metrics::add(std::string const& counter, std::string const& labels,
                   std::uint64_t amount)
 {
-    auto&                 own = own_shard();
-    std::lock_guard const lock(own.mutex);
-    own.counters[{counter, labels}] += amount;
+    auto&                 local = thread_shard();
+    std::lock_guard const lock(local.mutex);
+    local.counters[{counter, labels}] += amount;
 }
 
 void metrics::observe(std::string const& histogram, boot_clock::duration value)
 {
     auto const            seconds = std::chrono::duration<double>(value).count();
-    auto&                 own = own_shard();
-    std::lock_guard const lock(own.mutex);
-    auto&                 target = own.latencies[histogram];
+    auto&                 local = thread_shard();
+    std::lock_guard const lock(local.mutex);
+    auto&                 target = local.latencies[histogram];
     target.counts(seconds);
     target.sum += seconds;
 }
@@ -88,26 +88,26 @@
 void metrics::watch(std::string const& counter, std::string const& labels,
                     std::function<std::uint64_t()> read)
 {
-    watched_.push_back({counter, labels, std::move(read)});
+    callback_counters_.push_back({counter, labels, std::move(read)});
 }
 
 std::string metrics::exposition() const
 {
     counter_map counters;
-    for (auto const& value : watched_)
+    for (auto const& value : callback_counters_)
     {
         counters[{value.counter, value.labels}] = value.read();
     }
     latency_map latencies;
     for (std::size_t index = 0; index < shard_count; ++index)
     {
-        auto const&           part = shards_[index];
-        std::lock_guard const lock(part.mutex);
-        for (auto const& [key, value] : part.counters)
+        auto const&           source = shards_[index];
+        std::lock_guard const lock(source.mutex);
+        for (auto const& [key, value] : source.counters)
         {
             counters[key] += value;
         }
-        for (auto const& [name, value] : part.latencies)
+        for (auto const& [name, value] : source.latencies)
         {
             latencies[name].counts += value.counts;
             latencies[name].sum += value.sum;
--- a/src/adapters/metrics.hpp
+++ b/src/adapters/metrics.hpp
@@ -42,18 +42,18 @@
     struct shard;
     static constexpr std::size_t shard_count = 16;
 
-    shard& own_shard() const;
+    shard& thread_shard() const;
 
     /// A registered counter of another component.
-    struct watched_value
+    struct callback_counter
     {
         std::string                    counter;
         std::string                    labels;
         std::function<std::uint64_t()> read;
     };
 
-    std::unique_ptr<shard[]>   shards_;
-    std::vector<watched_value> watched_;
+    std::unique_ptr<shard[]>      shards_;
+    std::vector<callback_counter> callback_counters_;
 };
 
 } // namespace marigoldcrank
--- a/src/adapters/order_socket.cpp
+++ b/src/adapters/order_socket.cpp
@@ -26,7 +26,7 @@
 
 // 1. Socket
 
-constexpr std::size_t largest_answer = 65'536;
+constexpr std::size_t max_response_bytes = 65'536;
 
 /// Closes the connection with a reset unless the exchange has completed: a normal close
 /// would leave unsent bytes to the kernel, which sends them when it can.
@@ -65,7 +65,7 @@
     int fd_;
 };
 
-std::int64_t left_ms(boot_clock::time_point end)
+std::int64_t remaining_ms(boot_clock::time_point end)
 {
     return std::chrono::duration_cast<millis>(end - boot_clock::now()).count();
 }
@@ -76,13 +76,13 @@
 {
     while (true)
     {
-        auto const left = left_ms(end);
-        if (left <= 0)
+        auto const remaining = remaining_ms(end);
+        if (remaining <= 0)
         {
             return false;
         }
         pollfd     entry{socket, events, 0};
-        auto const ready = ::poll(&entry, 1, static_cast<int>(left));
+        auto const ready = ::poll(&entry, 1, static_cast<int>(remaining));
         if (ready > 0)
         {
             return true;
@@ -97,12 +97,12 @@
 /// Limits TCP_USER_TIMEOUT to the rest of the lease. False if the lease has ended.
 bool limit_retransmission(int socket, boot_clock::time_point valid_until)
 {
-    auto const left = left_ms(valid_until);
-    if (left <= 0)
+    auto const remaining = remaining_ms(valid_until);
+    if (remaining <= 0)
     {
         return false;
     }
-    auto const limit = static_cast<unsigned int>(left);
+    auto const limit = static_cast<unsigned int>(remaining);
     return setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit) == 0;
 }
 
@@ -136,14 +136,14 @@
     while (sent > 0 && sent < static_cast<ssize_t>(text.size()) &&
            wait_for_events(socket, POLLOUT, end))
     {
-        auto const rest = static_cast<std::size_t>(sent);
-        auto const more =
-            ::send(socket, text.data() + rest, text.size() - rest, MSG_NOSIGNAL);
-        if (more < 0 && errno != EAGAIN && errno != EINTR)
+        auto const offset = static_cast<std::size_t>(sent);
+        auto const written =
+            ::send(socket, text.data() + offset, text.size() - offset, MSG_NOSIGNAL);
+        if (written < 0 && errno != EAGAIN && errno != EINTR)
         {
             break;
         }
-        sent += std::max<ssize_t>(more, 0);
+        sent += std::max<ssize_t>(written, 0);
     }
     return sent;
 }
@@ -158,7 +158,7 @@
 }
 
 template <class Number>
-Number number_at(std::string const& text, std::size_t at)
+Number parse_number(std::string const& text, std::size_t at)
 {
     Number value = 0;
     std::from_chars(text.data() + at, text.data() + text.size(), value);
@@ -166,9 +166,9 @@
 }
 
 /// Parses status line, Content-Length and body; nothing while the response is incomplete.
-std::optional<order_answer> parse_answer(std::string const& text)
+std::optional<order_answer> parse_response(std::string const& text)
 {
-    constexpr std::size_t status_at = 9; // after "HTTP/1.1 "
+    constexpr std::size_t status_offset = 9; // after "HTTP/1.1 "
     std::string const     length_name = "content-length: ";
     auto const            end = text.find("\r\n\r\n");
     if (end == std::string::npos || text.rfind("HTTP/1.", 0) != 0)
@@ -176,22 +176,22 @@
         return std::nullopt;
     }
     auto const headers = lower_case(text.substr(0, end));
-    auto const place = headers.find(length_name);
+    auto const position = headers.find(length_name);
     auto const body = text.substr(end + 4);
-    if (place == std::string::npos ||
-        body.size() < number_at<std::size_t>(headers, place + length_name.size()))
+    if (position == std::string::npos ||
+        body.size() < parse_number<std::size_t>(headers, position + length_name.size()))
     {
         return std::nullopt;
     }
-    return order_answer{number_at<int>(text, status_at), body};
+    return order_answer{parse_number<int>(text, status_offset), body};
 }
 
-leaf::result<order_answer> read_answer(int socket, std::string const& peer,
-                                       boot_clock::time_point end)
+leaf::result<order_answer> read_response(int socket, std::string const& peer,
+                                         boot_clock::time_point end)
 {
     std::string             text;
     std::array<char, 4'096> buffer{};
-    while (text.size() < largest_answer && wait_for_events(socket, POLLIN, end))
+    while (text.size() < max_response_bytes && wait_for_events(socket, POLLIN, end))
     {
         auto const count = ::recv(socket, buffer.data(), buffer.size(), 0);
         if (count < 0 && (errno == EINTR || errno == EAGAIN))
@@ -204,9 +204,9 @@
                 transport_failure{transport_fault::answer_lost, peer, 0});
         }
         text.append(buffer.data(), static_cast<std::size_t>(count));
-        if (auto answer = parse_answer(text))
+        if (auto response = parse_response(text))
         {
-            return *answer;
+            return *response;
         }
     }
     return leaf::new_error(transport_failure{transport_fault::silent, peer, 0});
@@ -216,10 +216,10 @@
 
 // 3. order_socket
 
-order_socket::order_socket(millis timeout, std::string sender, checkpoint before_send,
-                           std::size_t largest)
+order_socket::order_socket(millis timeout, std::string sender, send_hook before_send,
+                           std::size_t max_request_bytes)
     : timeout_(timeout), sender_(std::move(sender)), before_send_(std::move(before_send)),
-      largest_(largest)
+      max_request_bytes_(max_request_bytes)
 {
 }
 
@@ -242,7 +242,7 @@
     auto const          end = std::min(valid_until, boot_clock::now() + timeout_);
     socket_handle const socket;
     lease_timer const   guard(socket.fd(), valid_until);
-    bool const          ready = text.size() <= largest_ && guard.armed() &&
+    bool const          ready = text.size() <= max_request_bytes_ && guard.armed() &&
                        limit_retransmission(socket.fd(), valid_until) &&
                        connect_until(socket.fd(), message, end) &&
                        limit_retransmission(socket.fd(), valid_until);
@@ -263,12 +263,12 @@
     {
         return leaf::new_error(transport_failure{transport_fault::answer_lost, peer, 0});
     }
-    auto answer = read_answer(socket.fd(), peer, end);
-    if (answer)
+    auto response = read_response(socket.fd(), peer, end);
+    if (response)
     {
         socket.close_normally();
     }
-    return answer;
+    return response;
 }
 
 } // namespace marigoldcrank
--- a/src/adapters/order_socket.hpp
+++ b/src/adapters/order_socket.hpp
@@ -28,7 +28,7 @@
 class order_socket
 {
 public:
-    using checkpoint = std::function<void()>;
+    using send_hook = std::function<void()>;
 
     /// Bytes that fit into one segment on any usual network, so that an order arrives
     /// completely or not at all.
@@ -36,12 +36,12 @@
 
     /// `timeout` limits the whole exchange. `sender` names this process to the other
     /// side. `before_send` runs between the check of the lease and the send; tests
-    /// suspend the process there. `largest` limits the size of a request in bytes. A
-    /// request of several segments (a usage report) may be interrupted at the end of the
-    /// lease; the other side then has no complete request.
+    /// suspend the process there. `max_request_bytes` limits the size of a request in
+    /// bytes. A request of several segments (a usage report) may be interrupted at the
+    /// end of the lease; the other side then has no complete request.
     order_socket(
-        millis timeout, std::string sender, checkpoint before_send = [] {},
-        std::size_t largest = one_segment);
+        millis timeout, std::string sender, send_hook before_send = [] {},
+        std::size_t max_request_bytes = one_segment);
 
     /// Sends the message and waits for the response, both until `valid_until` at the
     /// latest. `not_connected` means that nothing was sent.
@@ -53,8 +53,8 @@
 
     millis      timeout_;
     std::string sender_;
-    checkpoint  before_send_;
-    std::size_t largest_;
+    send_hook   before_send_;
+    std::size_t max_request_bytes_;
 };
 
 static_assert(order_port<order_socket>);
--- a/src/adapters/span_store.cpp
+++ b/src/adapters/span_store.cpp
@@ -33,10 +33,10 @@
     {
         file_ << text << std::endl;
     }
-    kept_.push_back(std::move(value));
-    if (kept_.size() > capacity_)
+    spans_.push_back(std::move(value));
+    if (spans_.size() > capacity_)
     {
-        kept_.pop_front();
+        spans_.pop_front();
     }
 }
 
@@ -44,7 +44,7 @@
 {
     std::vector<span>     found;
     std::lock_guard const lock(mutex_);
-    for (auto const& value : kept_)
+    for (auto const& value : spans_)
     {
         if (value.request_id == id || value.trace_id == id)
         {
@@ -75,8 +75,9 @@
                                     attribute_of("service.instance.id", node_)})}};
     json const scope = {{"scope", {{"name", "marigoldcrank"}}},
                         {"spans", json::array({body})}};
-    json const whole = {{"resource", resource}, {"scopeSpans", json::array({scope})}};
-    return json{{"resourceSpans", json::array({whole})}}.dump(
+    json const resource_spans = {{"resource", resource},
+                                 {"scopeSpans", json::array({scope})}};
+    return json{{"resourceSpans", json::array({resource_spans})}}.dump(
         -1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/src/adapters/span_store.hpp
+++ b/src/adapters/span_store.hpp
@@ -37,7 +37,7 @@
     std::string        node_;
     std::size_t        capacity_;
     mutable std::mutex mutex_;
-    std::deque<span>   kept_;
+    std::deque<span>   spans_;
     std::ofstream      file_;
 };
 
--- a/src/adapters/sse_reader.hpp
+++ b/src/adapters/sse_reader.hpp
@@ -27,19 +27,19 @@
         {
             auto const event = std::string_view{buffer_}.substr(begin, end - begin);
             begin = end + 2;
-            if (event.substr(0, field.size()) == field &&
-                !handler(event.substr(field.size())))
+            if (event.substr(0, data_prefix.size()) == data_prefix &&
+                !handler(event.substr(data_prefix.size())))
             {
                 return false;
             }
         }
         buffer_.erase(0, begin);
-        return buffer_.size() <= most_bytes;
+        return buffer_.size() <= max_event_bytes;
     }
 
 private:
-    static constexpr std::string_view field = "data: ";
-    static constexpr std::size_t      most_bytes = 1U << 20U; // bytes of one event
+    static constexpr std::string_view data_prefix = "data: ";
+    static constexpr std::size_t      max_event_bytes = 1U << 20U; // bytes of one event
 
     std::string buffer_;
 };
--- a/src/adapters/zmq_peers.cpp
+++ b/src/adapters/zmq_peers.cpp
@@ -21,23 +21,23 @@
 constexpr char const* outbox_address = "inproc://outbox";
 constexpr millis      poll_interval{100}; // ms
 constexpr int         queue_limit = 1000; // messages that wait for an unreachable peer
-constexpr char const* everyone = "";
+constexpr char const* all_peers = "";
 } // namespace
 
 // 1. State
 
 struct zmq_peers::state
 {
-    millis         dead_after;
-    handler        on_message;
-    zmq::context_t context{1};
-    zmq::socket_t  outbox_in{context, zmq::socket_type::push};
-    std::mutex     outbox_mutex; // a ZeroMQ socket allows one thread at a time
-    zmq::socket_t  outbox_out{context, zmq::socket_type::pull};
-    zmq::socket_t  inbox{context, zmq::socket_type::router};
-    std::map<std::string, zmq::socket_t>          outgoing;
-    mutable std::mutex                            heard_mutex;
-    std::map<std::string, boot_clock::time_point> heard;
+    millis                               peer_timeout;
+    handler                              on_message;
+    zmq::context_t                       context{1};
+    zmq::socket_t                        outbox_in{context, zmq::socket_type::push};
+    std::mutex                           outbox_mutex; // outbox_in: one user at a time
+    zmq::socket_t                        outbox_out{context, zmq::socket_type::pull};
+    zmq::socket_t                        inbox{context, zmq::socket_type::router};
+    std::map<std::string, zmq::socket_t> outgoing;
+    mutable std::mutex                   last_received_mutex;
+    std::map<std::string, boot_clock::time_point> last_received;
     std::atomic<std::uint64_t>                    sent{0};
     std::atomic<std::uint64_t>                    received{0};
     std::atomic<std::uint64_t>                    malformed{0};
@@ -101,7 +101,7 @@
         auto const target = name.to_string();
         for (auto& [peer, socket] : outgoing)
         {
-            if (target != everyone && target != peer)
+            if (target != all_peers && target != peer)
             {
                 continue;
             }
@@ -144,8 +144,8 @@
         return;
     }
     {
-        std::lock_guard const lock(heard_mutex);
-        heard[message.from()] = boot_clock::now();
+        std::lock_guard const lock(last_received_mutex);
+        last_received[message.from()] = boot_clock::now();
     }
     on_message(message);
 }
@@ -174,7 +174,7 @@
                      handler on_message)
     : state_(std::make_unique<state>())
 {
-    state_->dead_after = millis{options.peer_dead_ms};
+    state_->peer_timeout = millis{options.peer_dead_ms};
     state_->on_message = std::move(on_message);
     state_->outbox_out.bind(outbox_address);
     state_->outbox_in.connect(outbox_address);
@@ -213,7 +213,7 @@
 
 void zmq_peers::broadcast(wire::peer_message const& message)
 {
-    state_->post(everyone, message);
+    state_->post(all_peers, message);
 }
 
 void zmq_peers::send(std::string const& name, wire::peer_message const& message)
@@ -225,10 +225,10 @@
 {
     auto const               now = boot_clock::now();
     std::vector<std::string> names;
-    std::lock_guard const    lock(state_->heard_mutex);
-    for (auto const& [name, at] : state_->heard)
+    std::lock_guard const    lock(state_->last_received_mutex);
+    for (auto const& [name, at] : state_->last_received)
     {
-        if (now - at < state_->dead_after)
+        if (now - at < state_->peer_timeout)
         {
             names.push_back(name);
         }
--- a/tests/concurrent/shared_state_test.cpp
+++ b/tests/concurrent/shared_state_test.cpp
@@ -28,7 +28,7 @@
 
 /// Runs `work` on four threads at once.
 template <class Work>
-void on_four_threads(Work const& work)
+void run_on_four_threads(Work const& work)
 {
     std::vector<std::thread> threads;
     for (int index = 0; index < 4; ++index)
@@ -44,7 +44,7 @@
 TEST(shared_state, metrics_lose_no_count)
 {
     metrics counters;
-    on_four_threads(
+    run_on_four_threads(
         [&](int)
         {
             for (int round = 0; round < rounds; ++round)
@@ -63,7 +63,7 @@
     server_directory     directory;
     backend_server const server{.id = "engine-1", .group = "wording"};
     directory.replace({server});
-    on_four_threads(
+    run_on_four_threads(
         [&](int)
         {
             for (int round = 0; round < rounds; ++round)
@@ -148,7 +148,7 @@
     wire::peer_message message;
     message.set_from("left");
     message.mutable_beat()->set_config_revision(1);
-    on_four_threads(
+    run_on_four_threads(
         [&](int)
         {
             for (int round = 0; round < 50; ++round)
@@ -166,7 +166,7 @@
 {
     httplib::Server   server;
     std::atomic<bool> release{false};
-    configure(server, {.threads = 2, .overflow_threads = 1, .max_body = 4096});
+    configure(server, {.threads = 2, .overflow_threads = 1, .max_body_bytes = 4096});
     server.set_pre_routing_handler(
         [](auto const&, auto& response)
         {
--- a/tests/property/platform_decoders_property_test.cpp
+++ b/tests/property/platform_decoders_property_test.cpp
@@ -40,7 +40,7 @@
     static_cast<void>(decode_read(bytes, 5));
     static_cast<void>(decode_keyed(bytes, 5));
     static_cast<void>(decode_page(bytes));
-    static_cast<void>(decode_end(bytes));
+    static_cast<void>(decode_end_offset(bytes));
     static_cast<void>(platform_dialect::parse_handle(bytes));
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// The document with one random field replaced by a random value.
-std::string damaged(std::string const& text)
+std::string with_damaged_field(std::string const& text)
 {
     auto document = nlohmann::json::parse(text).flatten();
     auto field = document.begin();
@@ -82,8 +82,8 @@
 
 RC_GTEST_PROP(platform_decoders, fields_of_any_type_do_not_crash_the_decoders, ())
 {
-    static_cast<void>(decode_rules(damaged(good_rules)));
-    static_cast<void>(decode_server("id", damaged(good_server)));
+    static_cast<void>(decode_rules(with_damaged_field(good_rules)));
+    static_cast<void>(decode_server("id", with_damaged_field(good_server)));
 }
 
 // A quota with a value of the wrong type or size, or in an unknown unit, must not be read
@@ -98,12 +98,12 @@
     auto const rules = decode_rules(
         document.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
     RC_ASSERT(rules.has_value());
-    auto const& owner = rules->workspaces().front();
-    bool const  free = !owner.quota && owner.quota_readable;
+    auto const& tenant = rules->workspaces().front();
+    bool const  free = !tenant.quota && tenant.quota_readable;
     bool const  no_rate = entry["rate_per_s"].is_null() || entry["rate_per_s"] == 0;
     RC_ASSERT(!free || no_rate || entry["rate_per_s"] < 1);
-    RC_ASSERT(!owner.quota || (owner.quota->rate > 0 && owner.quota->burst >= 0 &&
-                               owner.quota->unstated >= 0));
+    RC_ASSERT(!tenant.quota || (tenant.quota->rate > 0 && tenant.quota->burst >= 0 &&
+                                tenant.quota->unstated >= 0));
 }
 
 TEST(platform_decoders, complete_rules_are_decoded)
@@ -166,11 +166,11 @@
 RC_GTEST_PROP(platform_decoders, truncated_reads_are_rejected,
               (std::string const& record))
 {
-    auto const whole = std::string(16, '\0') + frame_records({record + "x"});
-    auto const cut = *rc::gen::inRange<std::size_t>(0, whole.size());
+    auto const body = std::string(16, '\0') + frame_records({record + "x"});
+    auto const cut = *rc::gen::inRange<std::size_t>(0, body.size());
     if (cut != 16)
     {
-        RC_ASSERT(!decode_read(whole.substr(0, cut), 0).has_value());
+        RC_ASSERT(!decode_read(body.substr(0, cut), 0).has_value());
     }
 }
 
@@ -218,14 +218,14 @@
     request.set("Request-Id", "r");
     auto const call = platform_dialect::parse_call(request.base());
     RC_ASSERT(std::get<caller_call>(call).key == key);
-    auto const onward =
+    auto const attempt =
         platform_dialect::build_attempt_request(request, {.server_id = "i"});
-    for (auto const& field : onward.base())
+    for (auto const& field : attempt.base())
     {
         RC_ASSERT(field.value().find(key) == boost::beast::string_view::npos);
     }
-    RC_ASSERT(onward["Request-Id"] == "r");
-    RC_ASSERT(onward.count("X-Hop") == 0U);
+    RC_ASSERT(attempt["Request-Id"] == "r");
+    RC_ASSERT(attempt.count("X-Hop") == 0U);
 }
 
 TEST(platform_decoders, response_heads_are_parsed)
--- a/tests/unit/event_log_test.cpp
+++ b/tests/unit/event_log_test.cpp
@@ -12,17 +12,17 @@
 {
 
 /// A pipe that is read only on request.
-class quiet_pipe
+class test_pipe
 {
 public:
-    quiet_pipe()
+    test_pipe()
     {
         EXPECT_EQ(::pipe2(ends_, O_NONBLOCK), 0);
         ::fcntl(ends_[1], F_SETPIPE_SZ, 4096);
         ::fcntl(ends_[1], F_SETFL, 0); // a write to a full pipe would block
     }
 
-    ~quiet_pipe()
+    ~test_pipe()
     {
         ::close(ends_[0]);
         ::close(ends_[1]);
@@ -36,11 +36,11 @@
     std::string read_all()
     {
         std::string text;
-        char        piece[4096];
-        for (auto count = ::read(ends_[0], piece, sizeof piece); count > 0;
-             count = ::read(ends_[0], piece, sizeof piece))
+        char        buffer[4096];
+        for (auto count = ::read(ends_[0], buffer, sizeof buffer); count > 0;
+             count = ::read(ends_[0], buffer, sizeof buffer))
         {
-            text.append(piece, static_cast<std::size_t>(count));
+            text.append(buffer, static_cast<std::size_t>(count));
         }
         return text;
     }
@@ -58,9 +58,9 @@
 // daemon; it must drop lines, count them and continue.
 TEST(event_log, stalled_reader_drops_lines_without_blocking)
 {
-    quiet_pipe pipe;
-    event_log  log({.lines_per_s = 100'000, .sample = 1, .buffer_bytes = 8192},
-                   pipe.write_end());
+    test_pipe pipe;
+    event_log log({.lines_per_s = 100'000, .sample = 1, .buffer_bytes = 8192},
+                  pipe.write_end());
     for (int line = 0; line < 2000; ++line)
     {
         log.write(event_line{"x"}.add("n", line), at(1));
@@ -80,8 +80,8 @@
 
 TEST(event_log, lines_beyond_the_rate_limit_are_dropped_and_reported)
 {
-    quiet_pipe pipe;
-    event_log  log({.lines_per_s = 10, .sample = 1}, pipe.write_end());
+    test_pipe pipe;
+    event_log log({.lines_per_s = 10, .sample = 1}, pipe.write_end());
     for (int line = 0; line < 50; ++line)
     {
         log.write(event_line{"x"}, at(1));
--- a/tests/unit/http_backend_test.cpp
+++ b/tests/unit/http_backend_test.cpp
@@ -46,7 +46,7 @@
 };
 
 /// The number of running streams that is read from the report; -1 for a failure.
-std::int64_t running_of(std::string const& report)
+std::int64_t read_running(std::string const& report)
 {
     fake_engine  engine(report);
     http_backend backend({}, millis{500}, "node");
@@ -61,10 +61,11 @@
 
 TEST(http_backend, reads_load_fields_of_the_wrong_type_as_missing)
 {
-    EXPECT_EQ(running_of(R"({"running":3})"), 3);
-    EXPECT_EQ(running_of(R"({"running":"many","role":7,"lag_ms":null,"leaving":1})"), 0);
-    EXPECT_EQ(running_of("[1]"), -1);
-    EXPECT_EQ(running_of("nonsense"), -1);
+    EXPECT_EQ(read_running(R"({"running":3})"), 3);
+    EXPECT_EQ(read_running(R"({"running":"many","role":7,"lag_ms":null,"leaving":1})"),
+              0);
+    EXPECT_EQ(read_running("[1]"), -1);
+    EXPECT_EQ(read_running("nonsense"), -1);
 }
 
 TEST(http_backend, passes_on_malformed_events_without_a_request_id)
