--- a/src/adapters/exchange_watch.hpp
+++ b/src/adapters/exchange_watch.hpp
@@ -1,4 +1,4 @@
-// Ends exchanges whose time is up, from a thread of its own.
+// Closes HTTP exchanges that have passed their deadline, from a thread of its own.
 //
 // Index: 1 exchange_watch, 2 exchange_watch::guard
 #ifndef MARIGOLDCRANK_ADAPTERS_EXCHANGE_WATCH_HPP
@@ -22,38 +22,40 @@
 namespace marigoldcrank
 {
 
-/// A read timeout starts again with every byte, so that a server which trickles junk, or
-/// headers byte by byte, would hold a caller beyond its deadline. The watch shuts the
-/// socket down when the time is up, whatever the reading thread waits for.
+/// Enforces a deadline on HTTP exchanges. A read timeout starts again with every byte, so
+/// a server that trickles junk, or headers byte by byte, would hold a caller beyond its
+/// deadline. The watch shuts the socket down at the deadline, whatever the reading thread
+/// waits for.
 class exchange_watch
 {
     struct entry;
 
 public:
-    /// Watches one exchange while it lives.
+    /// Keeps one exchange registered with the watch during its lifetime.
     class guard
     {
     public:
         guard(exchange_watch& watch, httplib::Client& client,
-              boot_clock::time_point until);
+              boot_clock::time_point deadline);
         ~guard();
         guard(guard const&) = delete;
         guard& operator=(guard const&) = delete;
 
-        /// Moves the end; takes no lock.
-        void move_end(boot_clock::time_point until) noexcept;
+        /// Changes the deadline; takes no lock.
+        void move_deadline(boot_clock::time_point deadline) noexcept;
 
         /// True if the watch has ended the exchange.
         bool expired() const noexcept;
 
-        /// Ends the watching. Called before the client goes to another user: a late stop
-        /// would end that user's exchange. True if the watch has ended this one.
+        /// Ends the registration and returns true if the watch has ended this exchange.
+        /// It must be called before the client goes to another user: a late stop would
+        /// end that user's exchange.
         bool release();
 
     private:
         exchange_watch&            watch_;
         std::list<entry>::iterator position_;
-        bool                       watching_ = true;
+        bool                       registered_ = true;
     };
 
     exchange_watch();
@@ -63,12 +65,12 @@
     struct entry
     {
         httplib::Client*             client = nullptr;
-        std::atomic<boot_clock::rep> until{0}; // nanoseconds since boot
+        std::atomic<boot_clock::rep> deadline{0}; // nanoseconds since boot
         std::atomic<bool>            expired{false};
     };
 
     void run();
-    void end_expired();
+    void stop_expired();
 
     std::mutex              mutex_;
     std::condition_variable changed_;
--- a/src/adapters/http_platform.hpp
+++ b/src/adapters/http_platform.hpp
@@ -1,4 +1,4 @@
-// The platform over HTTP: log, VM list. Orders and reports go by order_socket.
+// HTTP client of the platform: log and VM list. order_socket sends orders and reports.
 //
 // Index: http_platform
 #ifndef MARIGOLDCRANK_ADAPTERS_HTTP_PLATFORM_HPP
@@ -29,19 +29,20 @@
     leaf::result<log_page>                    read(std::uint64_t from, millis wait);
     leaf::result<std::vector<backend_server>> backend_servers();
 
-    /// Bytes sent and received, for the budget of control traffic.
+    /// Bytes sent and received, estimated from paths, bodies and headers, for the budget
+    /// of control traffic.
     std::uint64_t bytes() const noexcept;
 
 private:
-    void count(std::string const& path, std::string const& body,
-               httplib::Result const& answer);
+    void count_bytes(std::string const& path, std::string const& body,
+                     httplib::Result const& response);
 
     std::atomic<std::uint64_t> bytes_{0};
     std::string                host_;
     int                        port_;
     std::string                sender_;
     http_client_pool           clients_;
-    http_client_pool           log_readers_; // long polls; a timeout beyond the wait
+    http_client_pool           log_clients_; // long polls; read timeout above the wait
 };
 
 static_assert(platform_log_port<http_platform>);
--- a/src/adapters/lease_timer.cpp
+++ b/src/adapters/lease_timer.cpp
@@ -23,16 +23,16 @@
     return SIGRTMIN + 4;
 }
 
-/// Runs in a signal handler: connect is async-signal-safe. AF_UNSPEC resets the
-/// connection and drops what the kernel has not sent yet.
+/// Signal handler; connect() is async-signal-safe. AF_UNSPEC resets the connection and
+/// discards what the kernel has not sent yet.
 void disconnect(int, siginfo_t* info, void*)
 {
     int const saved = errno;
     if (guarded_socket != no_socket && info->si_value.sival_int == guarded_socket)
     {
-        sockaddr nowhere{};
-        nowhere.sa_family = AF_UNSPEC;
-        (void)::connect(guarded_socket, &nowhere, sizeof nowhere);
+        sockaddr unspecified{};
+        unspecified.sa_family = AF_UNSPEC;
+        (void)::connect(guarded_socket, &unspecified, sizeof unspecified);
     }
     errno = saved;
 }
@@ -53,14 +53,14 @@
                    });
 }
 
-/// A thread may have been started with signals blocked; a blocked one would stay pending
-/// beyond the send.
+/// The thread may have been started with signals blocked, and a blocked signal would stay
+/// pending until after the send.
 void unblock_signal()
 {
-    sigset_t own;
-    sigemptyset(&own);
-    sigaddset(&own, lease_signal());
-    pthread_sigmask(SIG_UNBLOCK, &own, nullptr);
+    sigset_t signals;
+    sigemptyset(&signals);
+    sigaddset(&signals, lease_signal());
+    pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
 }
 
 itimerspec timer_at(boot_clock::time_point end)
--- a/src/adapters/metrics.hpp
+++ b/src/adapters/metrics.hpp
@@ -1,4 +1,4 @@
-// Counters and latency histograms, written out in Prometheus' text format.
+// Counters and latency histograms in Prometheus' text format.
 //
 // Index: metrics
 #ifndef MARIGOLDCRANK_ADAPTERS_METRICS_HPP
@@ -15,8 +15,8 @@
 namespace marigoldcrank
 {
 
-/// Safe to use from several threads; state lies in shards, each under its own lock, so
-/// that threads seldom meet.
+/// Safe to use from several threads. State is sharded by thread, with a lock for each
+/// shard, so that threads rarely contend.
 class metrics
 {
 public:
@@ -27,33 +27,33 @@
     void add(std::string const& counter, std::string const& labels = "",
              std::uint64_t amount = 1);
 
-    /// Records a duration in the histogram of this name.
+    /// Records a duration, in seconds, in the histogram of this name.
     void observe(std::string const& histogram, boot_clock::duration value);
 
-    /// Shows a value that another part keeps, read whenever the metrics are asked for.
-    /// Called before other threads use the object.
+    /// Registers a counter that another component maintains; `read` is called at each
+    /// exposition. Must be called before other threads use the object.
     void watch(std::string const& counter, std::string const& labels,
                std::function<std::uint64_t()> read);
 
-    /// All metrics in Prometheus' text format.
+    /// All metrics in Prometheus' text format, with the prefix `marigoldcrank_`.
     std::string exposition() const;
 
 private:
     struct shard;
     static constexpr std::size_t shard_count = 16;
 
-    shard& own_shard() const;
+    shard& thread_shard() const;
 
-    /// A value of another part, under its counter's name and labels.
-    struct watched_value
+    /// A registered counter of another component.
+    struct callback_counter
     {
         std::string                    counter;
         std::string                    labels;
         std::function<std::uint64_t()> read;
     };
 
-    std::unique_ptr<shard[]>   shards_;
-    std::vector<watched_value> watched_;
+    std::unique_ptr<shard[]>      shards_;
+    std::vector<callback_counter> callback_counters_;
 };
 
 } // namespace marigoldcrank
--- a/src/adapters/order_socket.cpp
+++ b/src/adapters/order_socket.cpp
@@ -1,6 +1,6 @@
-// Sends one order over a connection of its own.
+// Sends one order over a connection of its own, never after the end of the lease.
 //
-// Index: 1 socket, 2 answer, 3 order_socket
+// Index: 1 socket, 2 response, 3 order_socket
 #include "adapters/order_socket.hpp"
 
 #include "adapters/lease_timer.hpp"
@@ -26,10 +26,10 @@
 
 // 1. Socket
 
-constexpr std::size_t largest_answer = 65'536;
+constexpr std::size_t max_response_bytes = 65'536;
 
-/// Closes with a reset unless the exchange came to its end: a normal close would leave
-/// unsent bytes to the kernel, which sends them when it can.
+/// Closes the connection with a reset unless the exchange has completed: a normal close
+/// would leave unsent bytes to the kernel, which sends them when it can.
 class socket_handle
 {
 public:
@@ -65,23 +65,24 @@
     int fd_;
 };
 
-std::int64_t left_ms(boot_clock::time_point end)
+std::int64_t remaining_ms(boot_clock::time_point end)
 {
     return std::chrono::duration_cast<millis>(end - boot_clock::now()).count();
 }
 
-/// Waits for the events until `end`; a signal (the timer's) only makes it look again.
+/// Waits for the events until `end`; a signal, such as the timer's, only repeats the
+/// check.
 bool wait_for_events(int socket, short events, boot_clock::time_point end)
 {
     while (true)
     {
-        auto const left = left_ms(end);
-        if (left <= 0)
+        auto const remaining = remaining_ms(end);
+        if (remaining <= 0)
         {
             return false;
         }
         pollfd     entry{socket, events, 0};
-        auto const ready = ::poll(&entry, 1, static_cast<int>(left));
+        auto const ready = ::poll(&entry, 1, static_cast<int>(remaining));
         if (ready > 0)
         {
             return true;
@@ -93,14 +94,15 @@
     }
 }
 
+/// Limits TCP_USER_TIMEOUT to the rest of the lease. False if the lease has ended.
 bool limit_retransmission(int socket, boot_clock::time_point valid_until)
 {
-    auto const left = left_ms(valid_until);
-    if (left <= 0)
+    auto const remaining = remaining_ms(valid_until);
+    if (remaining <= 0)
     {
         return false;
     }
-    auto const limit = static_cast<unsigned int>(left);
+    auto const limit = static_cast<unsigned int>(remaining);
     return setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit) == 0;
 }
 
@@ -127,26 +129,26 @@
            getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
 }
 
-/// Bytes taken by the kernel; negative if it took none.
+/// Number of bytes that the kernel accepted; negative if it accepted none.
 ssize_t send_all(int socket, std::string const& text, boot_clock::time_point end)
 {
     ssize_t sent = ::send(socket, text.data(), text.size(), MSG_NOSIGNAL);
     while (sent > 0 && sent < static_cast<ssize_t>(text.size()) &&
            wait_for_events(socket, POLLOUT, end))
     {
-        auto const rest = static_cast<std::size_t>(sent);
-        auto const more =
-            ::send(socket, text.data() + rest, text.size() - rest, MSG_NOSIGNAL);
-        if (more < 0 && errno != EAGAIN && errno != EINTR)
+        auto const offset = static_cast<std::size_t>(sent);
+        auto const written =
+            ::send(socket, text.data() + offset, text.size() - offset, MSG_NOSIGNAL);
+        if (written < 0 && errno != EAGAIN && errno != EINTR)
         {
             break;
         }
-        sent += std::max<ssize_t>(more, 0);
+        sent += std::max<ssize_t>(written, 0);
     }
     return sent;
 }
 
-// 2. Answer
+// 2. Response
 
 std::string lower_case(std::string text)
 {
@@ -156,17 +158,17 @@
 }
 
 template <class Number>
-Number number_at(std::string const& text, std::size_t at)
+Number parse_number(std::string const& text, std::size_t at)
 {
     Number value = 0;
     std::from_chars(text.data() + at, text.data() + text.size(), value);
     return value;
 }
 
-/// The answer, once it is whole: status line, Content-Length, body.
-std::optional<order_response> parse_answer(std::string const& text)
+/// Parses status line, Content-Length and body; nothing while the response is incomplete.
+std::optional<order_response> parse_response(std::string const& text)
 {
-    constexpr std::size_t status_at = 9; // after "HTTP/1.1 "
+    constexpr std::size_t status_offset = 9; // after "HTTP/1.1 "
     std::string const     length_name = "content-length: ";
     auto const            end = text.find("\r\n\r\n");
     if (end == std::string::npos || text.rfind("HTTP/1.", 0) != 0)
@@ -174,22 +176,22 @@
         return std::nullopt;
     }
     auto const headers = lower_case(text.substr(0, end));
-    auto const place = headers.find(length_name);
+    auto const position = headers.find(length_name);
     auto const body = text.substr(end + 4);
-    if (place == std::string::npos ||
-        body.size() < number_at<std::size_t>(headers, place + length_name.size()))
+    if (position == std::string::npos ||
+        body.size() < parse_number<std::size_t>(headers, position + length_name.size()))
     {
         return std::nullopt;
     }
-    return order_response{number_at<int>(text, status_at), body};
+    return order_response{parse_number<int>(text, status_offset), body};
 }
 
-leaf::result<order_response> read_answer(int socket, std::string const& peer,
-                                         boot_clock::time_point end)
+leaf::result<order_response> read_response(int socket, std::string const& peer,
+                                           boot_clock::time_point end)
 {
     std::string             text;
     std::array<char, 4'096> buffer{};
-    while (text.size() < largest_answer && wait_for_events(socket, POLLIN, end))
+    while (text.size() < max_response_bytes && wait_for_events(socket, POLLIN, end))
     {
         auto const count = ::recv(socket, buffer.data(), buffer.size(), 0);
         if (count < 0 && (errno == EINTR || errno == EAGAIN))
@@ -202,9 +204,9 @@
                 transport_failure{transport_fault::response_lost, peer, 0});
         }
         text.append(buffer.data(), static_cast<std::size_t>(count));
-        if (auto answer = parse_answer(text))
+        if (auto response = parse_response(text))
         {
-            return *answer;
+            return *response;
         }
     }
     return leaf::new_error(transport_failure{transport_fault::silent, peer, 0});
@@ -214,10 +216,10 @@
 
 // 3. order_socket
 
-order_socket::order_socket(millis timeout, std::string sender, checkpoint before_send,
-                           std::size_t largest)
+order_socket::order_socket(millis timeout, std::string sender, send_hook before_send,
+                           std::size_t max_request_bytes)
     : timeout_(timeout), sender_(std::move(sender)), before_send_(std::move(before_send)),
-      largest_(largest)
+      max_request_bytes_(max_request_bytes)
 {
 }
 
@@ -240,7 +242,7 @@
     auto const          end = std::min(valid_until, boot_clock::now() + timeout_);
     socket_handle const socket;
     lease_timer const   guard(socket.fd(), valid_until);
-    bool const          ready = text.size() <= largest_ && guard.armed() &&
+    bool const          ready = text.size() <= max_request_bytes_ && guard.armed() &&
                        limit_retransmission(socket.fd(), valid_until) &&
                        connect_until(socket.fd(), message, end) &&
                        limit_retransmission(socket.fd(), valid_until);
@@ -253,7 +255,7 @@
     auto const sent = send_all(socket.fd(), text, end);
     if (sent < 0)
     {
-        // Nothing was taken by the kernel: the lease is over, or the other side is gone.
+        // The kernel accepted nothing: the lease has ended, or the other side is gone.
         return leaf::new_error(
             transport_failure{transport_fault::not_connected, peer, 0});
     }
@@ -262,12 +264,12 @@
         return leaf::new_error(
             transport_failure{transport_fault::response_lost, peer, 0});
     }
-    auto answer = read_answer(socket.fd(), peer, end);
-    if (answer)
+    auto response = read_response(socket.fd(), peer, end);
+    if (response)
     {
         socket.close_normally();
     }
-    return answer;
+    return response;
 }
 
 } // namespace marigoldcrank
