--- a/src/adapters/caller_connection.cpp
+++ b/src/adapters/caller_connection.cpp
@@ -53,7 +53,7 @@
 {
 }
 
-bool caller_connection::closed()
+bool caller_connection::is_closed()
 {
     if (!socket_)
     {
--- a/src/adapters/caller_connection.hpp
+++ b/src/adapters/caller_connection.hpp
@@ -22,7 +22,7 @@
     caller_connection(std::string remote_host, int remote_port);
 
     /// True if the caller has closed its connection, or its sending half. Does not block.
-    bool closed();
+    bool is_closed();
 
 private:
     std::string        remote_host_;
--- a/src/adapters/http_server.cpp
+++ b/src/adapters/http_server.cpp
@@ -97,7 +97,7 @@
     threads_.clear();
 }
 
-bool overflow_queue::refusing() noexcept
+bool overflow_queue::is_refusing() noexcept
 {
     return refusing_thread;
 }
--- a/src/adapters/http_server.hpp
+++ b/src/adapters/http_server.hpp
@@ -32,7 +32,7 @@
     void shutdown() override;
 
     /// True on a thread that only refuses connections.
-    static bool refusing() noexcept;
+    static bool is_refusing() noexcept;
 
 private:
     struct thread_group;
--- a/src/adapters/logging.cpp
+++ b/src/adapters/logging.cpp
@@ -10,29 +10,29 @@
 
 namespace
 {
-char const* prefix_of(log_part component)
+char const* prefix_of(log_component component)
 {
     switch (component)
     {
-    case log_part::node:
+    case log_component::node:
         return "[node] ";
-    case log_part::front:
+    case log_component::front:
         return "[front] ";
-    case log_part::route:
+    case log_component::route:
         return "[route] ";
-    case log_part::peers:
+    case log_component::peers:
         return "[peers] ";
-    case log_part::platform:
+    case log_component::platform:
         return "[platform] ";
-    case log_part::ledger:
+    case log_component::ledger:
         return "[ledger] ";
-    case log_part::lease:
+    case log_component::lease:
         return "[lease] ";
-    case log_part::order:
+    case log_component::order:
         return "[order] ";
-    case log_part::usage:
+    case log_component::usage:
         return "[usage] ";
-    case log_part::standin:
+    case log_component::standin:
         return "[standin] ";
     }
     return "[unknown] ";
@@ -61,22 +61,22 @@
     el::Loggers::reconfigureAllLoggers(configurations);
 }
 
-void log_debug(log_part component, std::string const& message)
+void log_debug(log_component component, std::string const& message)
 {
     LOG(DEBUG) << prefix_of(component) << message;
 }
 
-void log_info(log_part component, std::string const& message)
+void log_info(log_component component, std::string const& message)
 {
     LOG(INFO) << prefix_of(component) << message;
 }
 
-void log_warning(log_part component, std::string const& message)
+void log_warning(log_component component, std::string const& message)
 {
     LOG(WARNING) << prefix_of(component) << message;
 }
 
-void log_error(log_part component, std::string const& message)
+void log_error(log_component component, std::string const& message)
 {
     LOG(ERROR) << prefix_of(component) << message;
 }
--- a/src/adapters/logging.hpp
+++ b/src/adapters/logging.hpp
@@ -1,6 +1,6 @@
 // Logs short sentences behind a prefix that names the component.
 //
-// Index: log_part, start_logging, log_debug, log_info, log_warning, log_error
+// Index: log_component, start_logging, log_debug, log_info, log_warning, log_error
 #ifndef MARIGOLDCRANK_ADAPTERS_LOGGING_HPP
 #define MARIGOLDCRANK_ADAPTERS_LOGGING_HPP
 
@@ -10,7 +10,7 @@
 {
 
 /// Components of the system; each has its own prefix.
-enum class log_part
+enum class log_component
 {
     node,
     front,
@@ -29,10 +29,10 @@
 /// have no disks.
 void start_logging(std::string const& level);
 
-void log_debug(log_part component, std::string const& message);
-void log_info(log_part component, std::string const& message);
-void log_warning(log_part component, std::string const& message);
-void log_error(log_part component, std::string const& message);
+void log_debug(log_component component, std::string const& message);
+void log_info(log_component component, std::string const& message);
+void log_warning(log_component component, std::string const& message);
+void log_error(log_component component, std::string const& message);
 
 } // namespace marigoldcrank
 
--- a/src/adapters/metrics.cpp
+++ b/src/adapters/metrics.cpp
@@ -85,8 +85,8 @@
     target.sum += seconds;
 }
 
-void metrics::watch(std::string const& counter, std::string const& labels,
-                    std::function<std::uint64_t()> read)
+void metrics::add_callback(std::string const& counter, std::string const& labels,
+                           std::function<std::uint64_t()> read)
 {
     callback_counters_.push_back({counter, labels, std::move(read)});
 }
--- a/src/adapters/metrics.hpp
+++ b/src/adapters/metrics.hpp
@@ -32,8 +32,8 @@
 
     /// Registers a counter that another component maintains; `read` is called at each
     /// exposition. Must be called before other threads use the object.
-    void watch(std::string const& counter, std::string const& labels,
-               std::function<std::uint64_t()> read);
+    void add_callback(std::string const& counter, std::string const& labels,
+                      std::function<std::uint64_t()> read);
 
     /// All metrics in Prometheus' text format, with the prefix `marigoldcrank_`.
     std::string exposition() const;
--- a/src/adapters/order_socket.hpp
+++ b/src/adapters/order_socket.hpp
@@ -32,7 +32,7 @@
 
     /// Bytes that fit into one segment on any usual network, so that an order arrives
     /// completely or not at all.
-    static constexpr std::size_t one_segment = 1200;
+    static constexpr std::size_t max_segment_bytes = 1200;
 
     /// `timeout` limits the whole exchange. `sender` names this process to the other
     /// side. `before_send` runs between the check of the lease and the send; tests
@@ -41,7 +41,7 @@
     /// end of the lease; the other side then has no complete request.
     order_socket(
         millis timeout, std::string sender, send_hook before_send = [] {},
-        std::size_t max_request_bytes = one_segment);
+        std::size_t max_request_bytes = max_segment_bytes);
 
     /// Sends the message and waits for the response, both until `valid_until` at the
     /// latest. `not_connected` means that nothing was sent.
--- a/src/app/caller_front.hpp
+++ b/src/app/caller_front.hpp
@@ -134,7 +134,7 @@
         {
             response.set_header("Connection", "close");
         }
-        if (!overflow_queue::refusing())
+        if (!overflow_queue::is_refusing())
         {
             return httplib::Server::HandlerResponse::Unhandled;
         }
@@ -230,7 +230,7 @@
              timing](std::size_t, httplib::DataSink& sink)
             {
                 return relay(*stream, *state, writer, request_id, sink, *timing) &&
-                       !caller->closed();
+                       !caller->is_closed();
             },
             [stream](bool) { stream->abandon(); });
         return {};
@@ -244,7 +244,7 @@
         while (batch.tokens.empty() && !batch.end)
         {
             batch = stream.take(take_timeout);
-            if (batch.tokens.empty() && !batch.end && caller.closed())
+            if (batch.tokens.empty() && !batch.end && caller.is_closed())
             {
                 stream.abandon();
             }
@@ -267,7 +267,7 @@
             {
                 break;
             }
-            if (caller.closed())
+            if (caller.is_closed())
             {
                 stream.abandon();
             }
--- a/src/app/lease_keeper.hpp
+++ b/src/app/lease_keeper.hpp
@@ -48,7 +48,7 @@
         agent_.handle_outcome(outcome->offset, effective, boot_clock::now());
         if (effective && record->has_claim())
         {
-            log_info(log_part::lease, "Holds " + duty_ + ".");
+            log_info(log_component::lease, "Holds " + duty_ + ".");
         }
     }
 
--- a/src/app/ledger_store.cpp
+++ b/src/app/ledger_store.cpp
@@ -53,7 +53,7 @@
     applied_.notify_all();
     if (!readable)
     {
-        log_warning(log_part::ledger,
+        log_warning(log_component::ledger,
                     "Skipped malformed record at offset " + std::to_string(offset) + ".");
     }
     if (changed)
@@ -98,8 +98,9 @@
         }
         if (snapshot.revision() < ledger_.next_offset())
         {
-            log_warning(log_part::ledger, "Refused a peer's configuration that the log "
-                                          "does not hold.");
+            log_warning(log_component::ledger,
+                        "Refused a peer's configuration that the log "
+                        "does not hold.");
             return false;
         }
         peer_rules_ = read_rules(snapshot);
@@ -157,7 +158,7 @@
         current.revision > peer_rules_.revision || current == peer_rules_;
     if (!confirmed)
     {
-        log_warning(log_part::ledger,
+        log_warning(log_component::ledger,
                     "A peer's configuration is not the log's; dropped.");
         // The only step back there is: away from rules that were never accepted.
         publish(std::make_shared<access_list const>());
@@ -332,8 +333,8 @@
             // Only a newer program can have judged them good: the fold must not parse,
             // or two versions of it would hold different chains.
             unreadable_ = newest.revision;
-            log_error(log_part::ledger, "Accepted rules do not parse here; kept the "
-                                        "configuration in force.");
+            log_error(log_component::ledger, "Accepted rules do not parse here; kept the "
+                                             "configuration in force.");
         });
 }
 
--- a/src/app/log_follower.hpp
+++ b/src/app/log_follower.hpp
@@ -78,7 +78,7 @@
             },
             [&](log_gap const& gap)
             {
-                log_warning(log_part::ledger,
+                log_warning(log_component::ledger,
                             "Records expired unread; looks for a snapshot.");
                 search_from_ = gap.first_retained;
                 searching_ = true;
@@ -112,7 +112,7 @@
             {
                 store_.restore(*found, boot_clock::now());
                 searching_ = false;
-                log_info(log_part::ledger, "Starts again from a snapshot.");
+                log_info(log_component::ledger, "Starts again from a snapshot.");
                 return;
             }
             ++offset;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -108,13 +108,15 @@
 
 void node::parts::watch_traffic()
 {
-    counters.watch("peer_bytes_total", "direction=\"sent\"",
-                   [this] { return peers.bytes_sent(); });
-    counters.watch("peer_bytes_total", "direction=\"received\"",
-                   [this] { return peers.bytes_received(); });
-    counters.watch("peer_malformed_total", "", [this] { return peers.malformed(); });
-    counters.watch("poison_suspects", "", [this] { return poison.suspects(); });
-    counters.watch("platform_bytes_total", "", [this] { return platform.bytes(); });
+    counters.add_callback("peer_bytes_total", "direction=\"sent\"",
+                          [this] { return peers.bytes_sent(); });
+    counters.add_callback("peer_bytes_total", "direction=\"received\"",
+                          [this] { return peers.bytes_received(); });
+    counters.add_callback("peer_malformed_total", "",
+                          [this] { return peers.malformed(); });
+    counters.add_callback("poison_suspects", "", [this] { return poison.suspects(); });
+    counters.add_callback("platform_bytes_total", "",
+                          [this] { return platform.bytes(); });
 }
 
 void node::parts::start()
@@ -134,7 +136,7 @@
         bind_port(server, front, options.http_host, static_cast<int>(options.http_port));
     if (!bound)
     {
-        log_error(log_part::node, "Cannot bind the port for callers.");
+        log_error(log_component::node, "Cannot bind the port for callers.");
         return;
     }
     server_thread = std::thread([this] { server.listen_after_bind(); });
@@ -143,7 +145,8 @@
     beat_thread = std::thread([this] { run_beats(); });
     keeper_thread = std::thread([this] { run_keeper(); });
     book_thread = std::thread([this] { run_book(); });
-    log_info(log_part::node, "Started " + holder + " in " + options.data_centre + ".");
+    log_info(log_component::node,
+             "Started " + holder + " in " + options.data_centre + ".");
 }
 
 node::node(settings options) : parts_(std::make_unique<parts>(std::move(options)))
@@ -194,7 +197,7 @@
         return done;
     };
     parts_->callers.start_draining();
-    log_info(log_part::node, "Draining.");
+    log_info(log_component::node, "Draining.");
     parts_->duties.hand_over();
     // The balancer learns of it late and goes on sending for a while: refusing at once
     // would show callers a planned stop.
@@ -219,7 +222,7 @@
     parts_->reporter_lease.release();
     parts_->keeper_lease.release();
     bool const whole = served && billed && settled;
-    log_info(log_part::node, whole ? "Drained." : "Stopped before it drained.");
+    log_info(log_component::node, whole ? "Drained." : "Stopped before it drained.");
     return whole;
 }
 
--- a/src/app/order_journal.hpp
+++ b/src/app/order_journal.hpp
@@ -119,9 +119,9 @@
         span->note("order.inherited", tracked.progress.inherited ? "yes" : "no");
         if (writer_.append(record, terms_.append))
         {
-            log_info(log_part::order, "Order " + tracked.entry.order_id + " for " +
-                                          tracked.entry.target + " is " + name_of(end) +
-                                          ".");
+            log_info(log_component::order, "Order " + tracked.entry.order_id + " for " +
+                                               tracked.entry.target + " is " +
+                                               name_of(end) + ".");
         }
     }
 
--- a/src/app/usage_reporter.hpp
+++ b/src/app/usage_reporter.hpp
@@ -142,7 +142,8 @@
             },
             [&]
             {
-                log_warning(log_part::usage, "Report of a window failed; will retry.");
+                log_warning(log_component::usage,
+                            "Report of a window failed; will retry.");
                 return false;
             });
     }
--- a/src/serving/entry_node.hpp
+++ b/src/serving/entry_node.hpp
@@ -114,8 +114,8 @@
                              return status_response{200, state_.counters.exposition()};
                          });
         }
-        state_.counters.watch("log_lines_dropped_total", "",
-                              [this] { return state_.log.dropped(); });
+        state_.counters.add_callback("log_lines_dropped_total", "",
+                                     [this] { return state_.log.dropped(); });
     }
 
     /// Starts the readers of the store; on a first start only once other VMs are known,
--- a/tests/concurrent/shared_state_test.cpp
+++ b/tests/concurrent/shared_state_test.cpp
@@ -170,7 +170,7 @@
     server.set_pre_routing_handler(
         [](auto const&, auto& response)
         {
-            if (!overflow_queue::refusing())
+            if (!overflow_queue::is_refusing())
             {
                 return httplib::Server::HandlerResponse::Unhandled;
             }
--- a/tests/support/stopped_sender.cpp
+++ b/tests/support/stopped_sender.cpp
@@ -18,7 +18,7 @@
     auto const         padding = count > 5 ? std::strtoull(arguments[5], nullptr, 10) : 0;
     order_socket const socket(
         millis{5000}, "stopped-" + std::to_string(fence), [] { raise(SIGSTOP); },
-        order_socket::one_segment + padding);
+        order_socket::max_segment_bytes + padding);
     order_message const message{
         "127.0.0.1",
         std::atoi(arguments[1]),
