--- a/src/adapters/caller_connection.hpp
+++ b/src/adapters/caller_connection.hpp
@@ -27,7 +27,7 @@
 private:
     std::string        remote_host_;
     int                remote_port_;
-    std::optional<int> socket_; // found at the first call of closed()
+    std::optional<int> socket_; // found at the first check
 };
 
 } // namespace marigoldcrank
