--- a/src/adapters/http_platform.hpp
+++ b/src/adapters/http_platform.hpp
@@ -42,7 +42,7 @@
     int                        port_;
     std::string                sender_;
     http_client_pool           clients_;
-    http_client_pool           log_clients_; // long polls; read timeout above the wait
+    http_client_pool           log_clients_; // long polls, with a longer timeout
 };
 
 static_assert(platform_log_port<http_platform>);
