--- a/src/domain/caller_call.hpp
+++ b/src/domain/caller_call.hpp
@@ -27,13 +27,13 @@
 /// forwarded unchanged.
 struct caller_call
 {
-    std::string              id;       // request id; unique for each try of the caller
-    std::string              host;     // lower case, without port
-    std::string              target;   // path and query as received
-    std::string              key;      // API key; empty: none was sent
-    std::optional<millis>    patience; // how long the caller waits, ms; none: not stated
-    std::vector<prompt_part> prompt;   // in order; only this call has the last part
-    std::int64_t             output_tokens = 0; // max. tokens to generate
+    std::string                 id;       // request id; unique for each try of the caller
+    std::string                 host;     // lower case, without port
+    std::string                 target;   // path and query as received
+    std::string                 key;      // API key; empty: none was sent
+    std::optional<millis>       patience; // caller's max. wait, ms; none: not stated
+    std::vector<prompt_part>    prompt;   // in order; only this call has the last part
+    std::int64_t                output_tokens = 0; // max. tokens to generate
     std::optional<std::int64_t> stated_tokens; // prompt and max. output; none: not stated
     std::string resume_after; // last event id that the caller has; empty: none
 
--- a/src/domain/entry_settings.hpp
+++ b/src/domain/entry_settings.hpp
@@ -75,8 +75,8 @@
     bool beside = true;    // true  decoding engines prefill while streams tolerate it
     bool handover = true;  // true  prompts may be prefilled elsewhere and handed off
     bool home = true;      // true  calls that share uncached parts go to the same engine
-    bool learn = true;     // true  prefill times are learned from observed prefills
-    bool refuse = true;    // true  calls with far too long a predicted wait are refused
+    bool learn = true;     // true  prefill times follow observed prefills
+    bool refuse = true;    // true  calls that would wait far too long are refused
     bool roles = true;     // true  the roles of engines follow the load
     bool spread = true;    // true  VMs don't all choose the engine that was idlest
     bool warn = true;      // true  VMs learn of lost servers from other VMs
--- a/src/domain/serving_rules.hpp
+++ b/src/domain/serving_rules.hpp
@@ -84,7 +84,7 @@
     std::int64_t rate = 0;  // 0  units per second
     std::int64_t burst = 0; // 0  further units, saved up while less than the rate is used
     bool         tokens = false; // a unit is a token; otherwise a call
-    std::int64_t unstated = 1;   // 1  units charged for a call that states no token count
+    std::int64_t unstated = 1;   // 1  units of a call that states no tokens
 
     auto operator<=>(workspace_quota const&) const = default;
 };
