--- a/src/domain/entry_settings.hpp
+++ b/src/domain/entry_settings.hpp
@@ -75,11 +75,9 @@
     bool colocated = true; // true  decoding engines prefill while streams tolerate it
     bool handover = true;  // true  prompts may be prefilled elsewhere and handed off
     bool home = true;      // true  calls that share uncached parts go to the same engine
-    bool learn_prefill_times =
-        true; // true  prefill times are learned from observed prefills
-    bool refuse_long_waits =
-        true; // true  calls with far too long a predicted wait are refused
-    bool change_roles = true;   // true  the roles of engines follow the load
+    bool learn_prefill_times = true; // true  prefill times follow observed prefills
+    bool refuse_long_waits = true; // true  calls that would wait far too long are refused
+    bool change_roles = true;      // true  the roles of engines follow the load
     bool spread_choices = true; // true  VMs don't all choose the engine that was idlest
     bool share_server_losses = true; // true  VMs learn of lost servers from other VMs
     // [logs]
