--- a/src/app/duty_runner.hpp
+++ b/src/app/duty_runner.hpp
@@ -1,4 +1,4 @@
-// The duties that give orders, each with its lease and a thread of its own.
+// Runs the order-giving duties of one entry VM, each with its own lease and threads.
 //
 // Index: 1 duty_options, 2 duty_runner
 #ifndef MARIGOLDCRANK_APP_DUTY_RUNNER_HPP
@@ -20,19 +20,19 @@
 namespace marigoldcrank
 {
 
-/// What the duties of one entry VM need to know.
+/// Identity, timing and platform address that the duties of one entry VM use.
 struct duty_options
 {
-    std::string     data_centre; // whose engines this entry VM may control
-    std::string     holder;      // node and incarnation
+    std::string     data_centre; // this entry VM may control its engines
+    std::string     holder;      // node and incarnation, written into the log
     lease_terms     lease;
     order_terms     orders;
     orderer_options platform;
 };
 
-/// One thread watches which duties there are and marks draining servers. Each duty has a
-/// thread for its lease and one for its orders: an engine that hangs while it is asked
-/// must not keep a lease from being renewed.
+/// A watcher thread starts the duties that the configuration or an open order calls for,
+/// and marks draining servers. Each duty has one thread for its lease and one for its
+/// orders, so that an engine that hangs during a query does not block lease renewal.
 template <platform_log_port Log, vm_list_port List, order_port Orders,
           engine_state_port Engines, backend_port Backend>
 class duty_runner
@@ -52,8 +52,9 @@
         stop();
     }
 
-    /// Ends all duties and gives their leases up, so that a successor need not wait.
-    void hand_over()
+    /// Ends all duties and releases their leases, so that a successor need not wait for
+    /// them to expire.
+    void release_duties()
     {
         end_threads();
         for (auto const& [name, owned] : duties_)
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Ends all duties; the leases run out.
+    /// Ends all duties without releasing their leases, which then expire.
     void stop()
     {
         end_threads();
@@ -74,10 +75,11 @@
     }
 
 private:
-    static constexpr millis watch_pause{20};
-    static constexpr millis duty_pause{20};
+    static constexpr millis watch_interval{20};
+    static constexpr millis duty_interval{20};
 
-    /// One duty: its lease, its orders, and the work that is stepped.
+    /// A duty: its lease, its orders, and the function that performs one step of its
+    /// work.
     struct duty
     {
         duty(duty_runner& owner, std::string const& name)
@@ -104,15 +106,15 @@
             {
                 for (auto const& name : wanted_duties())
                 {
-                    begin(name);
+                    start_duty(name);
                 }
             }
-            std::this_thread::sleep_for(watch_pause);
+            std::this_thread::sleep_for(watch_interval);
         }
     }
 
-    /// Every entry VM leaves out what an open order will take out of service, whoever
-    /// gives the order.
+    /// Servers that an open order of any holder takes out of service. Every entry VM
+    /// stops routing calls to them.
     std::set<std::string> draining() const
     {
         std::map<std::string, std::uint64_t> ordered;
@@ -136,7 +138,7 @@
                                   { return value.orders().open(); });
     }
 
-    /// Duties of the configuration, and those with orders that are still to be settled.
+    /// Duties that the configuration calls for, and duties that still have open orders.
     std::set<std::string> wanted_duties() const
     {
         std::set<std::string> names;
@@ -174,7 +176,7 @@
                    : "";
     }
 
-    void begin(std::string const& name)
+    void start_duty(std::string const& name)
     {
         std::lock_guard const lock(mutex_);
         if (ending_ || duties_.count(name) != 0)
@@ -183,8 +185,9 @@
         }
         auto added = std::make_unique<duty>(*this, name);
         added->work = work_of(name, added->journal);
-        added->lease_thread = std::thread([this, own = added.get()] { keep(*own); });
-        added->work_thread = std::thread([this, own = added.get()] { work(*own); });
+        added->lease_thread =
+            std::thread([this, own = added.get()] { keep_lease(*own); });
+        added->work_thread = std::thread([this, own = added.get()] { run_work(*own); });
         duties_.emplace(name, std::move(added));
     }
 
@@ -210,21 +213,21 @@
         };
     }
 
-    void keep(duty& own)
+    void keep_lease(duty& own)
     {
         while (!ending_)
         {
             own.lease.step(boot_clock::now());
-            std::this_thread::sleep_for(duty_pause);
+            std::this_thread::sleep_for(duty_interval);
         }
     }
 
-    void work(duty& own)
+    void run_work(duty& own)
     {
         while (!ending_)
         {
             own.work(boot_clock::now());
-            std::this_thread::sleep_for(duty_pause);
+            std::this_thread::sleep_for(duty_interval);
         }
     }
 
@@ -253,8 +256,8 @@
     server_directory&                            directory_;
     span_store&                                  spans_;
     duty_options                                 options_;
-    std::atomic<bool>                            stopping_{false}; // the watcher
-    std::atomic<bool>                            ending_{false};   // the duties
+    std::atomic<bool>                            stopping_{false}; // ends the watcher
+    std::atomic<bool>                            ending_{false};   // ends the duties
     std::mutex                                   mutex_;
     std::map<std::string, std::unique_ptr<duty>> duties_;
     std::thread                                  watcher_;
--- a/src/app/engine_controller.hpp
+++ b/src/app/engine_controller.hpp
@@ -1,10 +1,11 @@
-// The controller's duty: roles of the engines of one group in one data centre.
+// Controller duty: assigns roles to the engines of one group in one data centre.
 //
 // Index: engine_controller
 //
-// A change of role goes: intent (which all entry VMs read, and stop routing to the
-// engine), drain, order, and once the engine shows the role, the outcome. Whoever holds
-// the duty carries on where the log and the engine say that it stands.
+// A role change has four steps: an intent in the log, at which all entry VMs stop routing
+// calls to the engine; the drain; the order to the engine; and the outcome in the log
+// once the engine reports the new role. A new holder of the duty continues from the state
+// that the log and the engine report.
 #ifndef MARIGOLDCRANK_APP_ENGINE_CONTROLLER_HPP
 #define MARIGOLDCRANK_APP_ENGINE_CONTROLLER_HPP
 
@@ -21,7 +22,7 @@
 namespace marigoldcrank
 {
 
-/// Used by one thread.
+/// Not thread-safe: used by one thread.
 template <platform_log_port Log, vm_list_port List, order_port Orders,
           engine_state_port Engines, backend_port Backend>
 class engine_controller
@@ -36,15 +37,15 @@
     {
     }
 
-    /// Settles open orders; orders something new only if none is open.
+    /// Advances the open orders, and gives a new order only if none is open.
     void step(boot_clock::time_point now)
     {
         auto const held = journal_.authority(now, margin());
-        if (!held || now - looked_at_ < journal_.terms().every || !read_list())
+        if (!held || now - last_check_ < journal_.terms().every || !read_list())
         {
             return;
         }
-        looked_at_ = now;
+        last_check_ = now;
         auto const open = journal_.open(*held, now);
         for (auto const& tracked : open)
         {
@@ -57,7 +58,8 @@
     }
 
 private:
-    /// Engines that check fencing numbers refuse a predecessor's late order themselves.
+    /// Wait before orders are given. None is needed for engines that check fencing
+    /// numbers, because they refuse a late order of the previous holder themselves.
     millis margin() const
     {
         auto const access = store_.access();
@@ -91,30 +93,32 @@
 
     void settle(held_lease const& held, tracked_order const& tracked)
     {
-        auto const      place = std::find_if(listed_.begin(), listed_.end(),
-                                             [&](backend_server const& server)
-                                             { return server.id == tracked.wanted.server; });
-        observed_engine observed{.listed = place != listed_.end() && !place->leaving};
+        auto const      position = std::find_if(listed_.begin(), listed_.end(),
+                                                [&](backend_server const& server) {
+                                               return server.id == tracked.wanted.server;
+                                           });
+        observed_engine observed{.listed =
+                                     position != listed_.end() && !position->leaving};
         if (observed.listed)
         {
-            observed.state = state_of(*place);
-            observed.idle = drain_.idle(*place, tracked.seen_at);
+            observed.state = state_of(*position);
+            observed.idle = drain_.idle(*position, tracked.seen_at);
         }
         auto step = settle_role(tracked.wanted, tracked.progress, observed);
-        // Giving way must not wait for the engine to be idle: the last server of a group
-        // serves on until the order for it is closed.
+        // An order can be abandoned before the engine is idle: the last server of a group
+        // takes no new calls until the order for it is closed.
         bool const unsent = tracked.progress.sending == order_sending::not_sent;
         if (step == order_step::send || (step == order_step::wait && unsent))
         {
-            auto const judged = judge_others(tracked);
-            step = judged == order_step::send ? step : judged;
+            auto const others_step = check_other_servers(tracked);
+            step = others_step == order_step::send ? step : others_step;
         }
         switch (step)
         {
         case order_step::wait:
             break;
         case order_step::send:
-            journal_.send(held, tracked, message_for(held, tracked, *place));
+            journal_.send(held, tracked, message_for(held, tracked, *position));
             break;
         case order_step::close_done:
             journal_.close(held, tracked, order_end::done);
@@ -125,14 +129,15 @@
         }
     }
 
-    /// Controllers of other data centres decide at the same time, and together could take
-    /// every engine of the group out of service. All read the same open orders: the one
-    /// with the lowest offset goes on, the others give way.
-    order_step judge_others(tracked_order const& tracked) const
+    /// Keeps at least one engine of the group in service. Controllers of other data
+    /// centres decide at the same time, and together they could take every engine of the
+    /// group out of service. All of them read the same open orders: the order with the
+    /// lowest log offset waits, and the others are abandoned.
+    order_step check_other_servers(tracked_order const& tracked) const
     {
         auto const open = open_by_server();
-        bool       one_serves = false;
-        bool       one_was_first = false;
+        bool       another_serves = false;
+        bool       earlier_order_open = false;
         for (auto const& server : listed_)
         {
             if (server.group != group_ || server.leaving ||
@@ -141,16 +146,17 @@
                 continue;
             }
             auto const found = open.find(server.id);
-            one_serves = one_serves || found == open.end();
-            one_was_first = one_was_first ||
-                            (found != open.end() && found->second < tracked.entry.offset);
+            another_serves = another_serves || found == open.end();
+            earlier_order_open =
+                earlier_order_open ||
+                (found != open.end() && found->second < tracked.entry.offset);
         }
-        return one_serves      ? order_step::send
-               : one_was_first ? order_step::close_abandoned
-                               : order_step::wait;
+        return another_serves       ? order_step::send
+               : earlier_order_open ? order_step::close_abandoned
+                                    : order_step::wait;
     }
 
-    /// Offsets of the open orders by their server, of all duties.
+    /// Log offsets of the open orders of all duties, by server.
     std::map<std::string, std::uint64_t> open_by_server() const
     {
         std::map<std::string, std::uint64_t> result;
@@ -170,8 +176,9 @@
         return result;
     }
 
-    /// An engine that does not answer now keeps the role that it had: judging it as gone
-    /// would turn another engine, and turn it back when the first one answers.
+    /// An engine that does not respond counts with its last known role. Otherwise the
+    /// controller would change the role of another engine, and change it back once the
+    /// first engine responds.
     engine_role role_of(backend_server const& server)
     {
         if (auto const state = state_of(server))
@@ -220,11 +227,11 @@
         auto const wanted = next_role_order(own, {rule.prefill, rule.decode}, others);
         if (wanted)
         {
-            journal_.intend(held, wanted->server, with_place(*wanted));
+            journal_.intend(held, wanted->server, with_location(*wanted));
         }
     }
 
-    order with_place(order wanted) const
+    order with_location(order wanted) const
     {
         wanted.group = group_;
         wanted.data_centre = data_centre_;
@@ -240,7 +247,7 @@
     std::string                        data_centre_;
     std::vector<backend_server>        listed_;
     std::map<std::string, engine_role> last_roles_; // by engine
-    boot_clock::time_point             looked_at_{};
+    boot_clock::time_point             last_check_{};
 };
 
 } // namespace marigoldcrank
--- a/src/app/lease_keeper.hpp
+++ b/src/app/lease_keeper.hpp
@@ -1,4 +1,4 @@
-// Takes and keeps the lease of one duty through the platform's log.
+// Claims, renews and releases the lease of one duty through the platform's log.
 //
 // Index: lease_keeper
 #ifndef MARIGOLDCRANK_APP_LEASE_KEEPER_HPP
@@ -16,8 +16,8 @@
 namespace marigoldcrank
 {
 
-/// Carries a lease_agent's records to the log and back. `step` is called by one thread,
-/// `held` and `release` by any.
+/// Appends the records that a lease_agent prepares, and passes their outcomes back to it.
+/// `step` must be called by one thread only; `held` and `release` are thread-safe.
 template <platform_log_port Log>
 class lease_keeper
 {
@@ -29,8 +29,8 @@
     {
     }
 
-    /// Renews a held lease or claims a lapsed one, if it is time. `now` must have been
-    /// read before the call: the lease runs from it.
+    /// Renews a held lease or claims an expired one, if that is due. The lease runs from
+    /// `now`, which must therefore be read before the call.
     void step(boot_clock::time_point now)
     {
         auto const record = prepare(now);
@@ -41,18 +41,18 @@
         auto const outcome = writer_.append(*record, terms_.renew);
         if (!outcome)
         {
-            return; // its fate is unknown; if it takes effect late, a renewal follows
+            return; // outcome unknown; if it takes effect late, a renewal follows
         }
         bool const            effective = outcome->effect == record_effect::effective;
         std::lock_guard const lock(mutex_);
         agent_.settle(outcome->offset, effective, boot_clock::now());
         if (effective && record->has_claim())
         {
-            log_info(log_part::lease, "Holds " + duty_ + ".");
+            log_info(log_part::lease, "Acquired the lease of duty " + duty_ + ".");
         }
     }
 
-    /// The lease, if this process has it at `now`.
+    /// The lease, if this process holds it at `now`.
     std::optional<held_lease> held(boot_clock::time_point now) const
     {
         auto const            state = view().state;
@@ -60,8 +60,8 @@
         return agent_.held(state, now);
     }
 
-    /// Gives the duty up, so that a successor need not wait the lease out. The caller has
-    /// ended what it was doing under the lease.
+    /// Releases the lease, so that a successor need not wait for it to expire. The caller
+    /// must have ended all work that it did under the lease.
     void release()
     {
         std::optional<wire::log_record> record;
@@ -87,8 +87,8 @@
         return agent_.prepare(view(), now);
     }
 
-    /// The state is read before the time at which it was read: a record folded between
-    /// the two can only make this process wait longer.
+    /// Reads the state before the time of its last record: a record that is folded
+    /// between the two reads can only make this process wait longer.
     lease_view view() const
     {
         lease_view result;
--- a/src/app/ledger_store.cpp
+++ b/src/app/ledger_store.cpp
@@ -1,4 +1,4 @@
-// The ledger of this process.
+// Folds log records, and merges what peers send ahead of the log.
 //
 // Index: 1 from the log, 2 from peers, 3 views, 4 access list
 #include "app/ledger_store.hpp"
@@ -47,7 +47,7 @@
         {
             note_duty(record, now);
         }
-        judge_peer_rules();
+        check_peer_rules();
         changed = refresh_access();
     }
     applied_.notify_all();
@@ -69,13 +69,13 @@
     {
         std::lock_guard const lock(mutex_);
         ledger_ = ledger::restored(snapshot);
-        // Each duty's last renewal may be as young as the snapshot: a whole lease must
-        // pass from here before this node may claim any of them.
+        // The last renewal of a duty may be as recent as the snapshot, so a whole lease
+        // must pass from now on before this node may claim any duty.
         for (auto const& [duty, state] : ledger_.leases().duties())
         {
             duty_read_at_[duty] = now;
         }
-        judge_peer_rules();
+        check_peer_rules();
         changed = refresh_access();
     }
     applied_.notify_all();
@@ -98,8 +98,8 @@
         }
         if (snapshot.revision() < ledger_.next_offset())
         {
-            log_warning(log_part::ledger, "Refused a peer's configuration that the log "
-                                          "does not hold.");
+            log_warning(log_part::ledger, "Refused a peer's configuration: the log has "
+                                          "passed its revision without accepting it.");
             return false;
         }
         peer_rules_ = read_rules(snapshot);
@@ -145,8 +145,9 @@
     return changed;
 }
 
-/// Once the ledger has passed the offset of a peer's configuration, the ledger decides.
-void ledger_store::judge_peer_rules()
+/// Once the ledger has passed the offset of a peer's configuration, the ledger replaces
+/// it.
+void ledger_store::check_peer_rules()
 {
     if (peer_rules_.revision == 0 || peer_rules_.revision >= ledger_.next_offset())
     {
@@ -158,8 +159,9 @@
     if (!confirmed)
     {
         log_warning(log_part::ledger,
-                    "A peer's configuration is not the log's; dropped.");
-        // The only step back there is: away from rules that were never accepted.
+                    "Dropped a peer's configuration that the log did not accept.");
+        // The only case in which the configuration is withdrawn: its rules were never
+        // accepted.
         publish(std::make_shared<access_list const>());
     }
     peer_rules_ = {};
@@ -227,13 +229,13 @@
 
 void ledger_store::remember(std::string const& record_id, record_outcome outcome)
 {
-    // The first record with an id decides: a second append of it is a repeat.
+    // The first record with an id counts; a second append of it is a duplicate.
     if (record_id.empty() || !outcomes_.emplace(record_id, outcome).second)
     {
         return;
     }
     outcome_order_.push_back(record_id);
-    if (outcome_order_.size() > remembered_records)
+    if (outcome_order_.size() > max_remembered_records)
     {
         outcomes_.erase(outcome_order_.front());
         outcome_order_.pop_front();
@@ -293,7 +295,7 @@
     }
     auto const drains = newest_drains();
     auto const newest = std::max(ledger_.config().revision(), peer_rules_.revision);
-    bool const same_rules = newest <= std::max(access_->revision(), unreadable_);
+    bool const same_rules = newest <= std::max(access_->revision(), unparsable_revision_);
     if (same_rules && withdrawn_ == access_->withdrawn && drains == access_->drains)
     {
         return false;
@@ -314,7 +316,7 @@
 {
     auto const& own = ledger_.config().current();
     auto const& newest = peer_rules_.revision > own.revision ? peer_rules_ : own;
-    if (newest.revision <= std::max(next.revision(), unreadable_))
+    if (newest.revision <= std::max(next.revision(), unparsable_revision_))
     {
         return;
     }
@@ -329,11 +331,12 @@
         },
         [&]
         {
-            // Only a newer program can have judged them good: the fold must not parse,
-            // or two versions of it would hold different chains.
-            unreadable_ = newest.revision;
-            log_error(log_part::ledger, "Accepted rules do not parse here; kept the "
-                                        "configuration in force.");
+            // Only a newer version of the program can have accepted these rules. The fold
+            // itself does not parse rules, because two versions of the program would then
+            // hold different chains of changes.
+            unparsable_revision_ = newest.revision;
+            log_error(log_part::ledger, "Cannot parse the accepted rules; the previous "
+                                        "configuration stays in force.");
         });
 }
 
--- a/src/app/ledger_store.hpp
+++ b/src/app/ledger_store.hpp
@@ -1,5 +1,5 @@
-// The ledger of this process: folds what is read from the log, and lets other threads
-// wait for a record to be read back.
+// Thread-safe ledger of this process: folds the records read from the log, merges what
+// peers send, and lets threads wait until a record is read back.
 //
 // Index: 1 record_outcome, 2 access_list, 3 ledger_store
 #ifndef MARIGOLDCRANK_APP_LEDGER_STORE_HPP
@@ -27,7 +27,7 @@
 namespace marigoldcrank
 {
 
-/// What became of a record that was read back.
+/// Log offset of a record that was read back, and whether it took effect.
 struct record_outcome
 {
     std::uint64_t offset = 0;
@@ -36,13 +36,14 @@
     bool operator==(record_outcome const&) const = default;
 };
 
-/// Configuration in force and all withdrawn keys known here; immutable.
+/// Immutable view of the configuration in force, the withdrawn keys and the drains.
 struct access_list
 {
-    std::shared_ptr<configuration const> config;    // null: none known yet, refuse
-    std::map<std::string, bool>          withdrawn; // id, compromised
-    std::uint64_t withdrawn_digest = 0;             // equal sets, equal digests
-    drain_list    drains;                           // newest of log and peers
+    std::shared_ptr<configuration const>
+                                config;    // null: none known yet, calls are refused
+    std::map<std::string, bool> withdrawn; // key id, compromised
+    std::uint64_t               withdrawn_digest = 0; // equal for equal sets; 0 if empty
+    drain_list                  drains;               // newest of log and peers
 
     std::uint64_t revision() const noexcept
     {
@@ -50,52 +51,56 @@
     }
 };
 
-/// The ledger, which only the log moves, and beside it what peers know sooner: a newer
-/// configuration and withdrawn keys. In force is the newest accepted of both. Safe to use
-/// from several threads.
+/// Holds the ledger, which changes only by records of the log, and beside it what peers
+/// send ahead of the log: a newer configuration, withdrawn keys and drains. The newest
+/// accepted configuration of both sources is in force. Thread-safe.
 class ledger_store
 {
 public:
     using listener = std::function<void()>;
 
-    /// `on_access_change` runs after the configuration or the withdrawn keys changed.
+    /// `on_access_change` runs after the configuration, the withdrawn keys or the drains
+    /// changed.
     explicit ledger_store(listener on_access_change);
 
-    /// Folds the text of one record, read at `now`.
+    /// Folds the text of one record that was read at `now`. A malformed record is
+    /// skipped.
     void apply(std::uint64_t offset, std::string const& text, boot_clock::time_point now);
 
-    /// Starts again from a snapshot after records expired unread.
+    /// Replaces the ledger by a snapshot, after records expired before they were read.
     void restore(wire::ledger_snapshot const& snapshot, boot_clock::time_point now);
 
-    /// Takes a peer's configuration if it is newer than the one in force. True if it was.
-    /// A peer is believed only where this node's own log is silent: a revision that the
-    /// ledger has passed without accepting it is refused, and one that the ledger passes
-    /// later is dropped in favour of the ledger's own.
+    /// Takes a peer's configuration if it is newer than the one in force. True if
+    /// anything changed. Only a revision that this node has not yet read in the log is
+    /// taken from a peer: a revision that the ledger has passed without accepting it is
+    /// refused, and one that the ledger passes later is replaced by the ledger's own.
     bool offer(wire::config_snapshot const& snapshot);
 
-    /// Adds withdrawn keys, whoever says so. True if any was new.
+    /// Adds withdrawn keys from any source. True if any was new.
     bool offer(wire::key_withdrawal_set const& withdrawals);
 
-    /// Takes a peer's drains if they are newer. True if they were.
+    /// Takes a peer's drains if they are newer than those known. True if anything
+    /// changed.
     bool offer(wire::drain_state const& drains);
 
-    /// The rules in force, to be passed on to peers.
+    /// The rules in force, to be sent to peers.
     accepted_rules rules_in_force() const;
 
-    /// Withdrawals known here that the log does not hold yet.
+    /// Withdrawn keys known here that the log does not hold yet.
     wire::key_withdrawal_set unlogged_withdrawals() const;
 
-    /// Waits until a record with this id was read back.
+    /// Waits until a record with this id is read back; empty after `timeout`.
     std::optional<record_outcome> wait_for(std::string const& record_id, millis timeout);
 
-    /// Configuration and withdrawn keys, for requests; cheap.
+    /// The current configuration, withdrawn keys and drains. Cheap: called for each
+    /// request.
     std::shared_ptr<access_list const> access() const;
 
-    /// When the last effective record of a duty was read; the start of the process if
-    /// never.
+    /// Time at which the last effective record of a duty was read, or the start of the
+    /// process if there is none.
     boot_clock::time_point duty_read_at(std::string const& duty) const;
 
-    /// Calls `reader` with the ledger under the lock; it must be quick.
+    /// Calls `reader` with the ledger while the lock is held; it must return quickly.
     template <class Reader>
     auto with_ledger(Reader&& reader) const
     {
@@ -107,27 +112,28 @@
     void       remember(std::string const& record_id, record_outcome outcome);
     void       note_duty(wire::log_record const& record, boot_clock::time_point now);
     void       publish(std::shared_ptr<access_list const> next);
-    drain_list newest_drains() const; // under the lock
-    bool       refresh_access();      // under the lock; true if anything changed
+    drain_list newest_drains() const; // requires the lock
+    bool       refresh_access();      // requires the lock; true if anything changed
     void       refresh_config(access_list& next);
-    void       judge_peer_rules();
-
-    static constexpr std::size_t remembered_records = 8192;
-
-    listener                                      on_access_change_;
-    boot_clock::time_point                        started_;
-    mutable std::mutex                            mutex_;
-    std::condition_variable                       applied_;
-    ledger                                        ledger_;
-    accepted_rules                                peer_rules_;  // ahead of the ledger
-    drain_fold                                    peer_drains_; // newest that a peer told
-    std::map<std::string, bool>                   withdrawn_;   // from any source
-    std::uint64_t                                 unreadable_ = 0; // newest such revision
+    void       check_peer_rules();
+
+    static constexpr std::size_t max_remembered_records = 8192;
+
+    listener                    on_access_change_;
+    boot_clock::time_point      started_;
+    mutable std::mutex          mutex_;
+    std::condition_variable     applied_;
+    ledger                      ledger_;
+    accepted_rules              peer_rules_;  // ahead of the ledger
+    drain_fold                  peer_drains_; // newest received from a peer
+    std::map<std::string, bool> withdrawn_;   // from any source
+    std::uint64_t               unparsable_revision_ =
+        0; // newest accepted revision that does not parse
     std::map<std::string, record_outcome>         outcomes_;
     std::deque<std::string>                       outcome_order_;
     std::map<std::string, boot_clock::time_point> duty_read_at_;
-    mutable std::mutex                 access_mutex_; // read for every token; never long
-    std::shared_ptr<access_list const> access_;       // written under both locks
+    mutable std::mutex access_mutex_;           // taken for every token; held briefly
+    std::shared_ptr<access_list const> access_; // written while both locks are held
 };
 
 } // namespace marigoldcrank
--- a/src/app/log_follower.hpp
+++ b/src/app/log_follower.hpp
@@ -1,10 +1,10 @@
-// Reads the platform's log from offset to offset into the ledger store.
+// Reads the platform's log in order of offsets and folds its records into the ledger.
 //
 // Index: log_follower
 //
-// Records expire. A reader that comes too late reads on from the first retained record,
-// without folding anything, until it meets a snapshot that covers all that is gone;
-// there it starts again.
+// Records expire. A reader whose next record has expired continues from the first
+// retained record without folding anything, until it finds a snapshot that covers all
+// expired records; it restores the ledger from that snapshot.
 #ifndef MARIGOLDCRANK_APP_LOG_FOLLOWER_HPP
 #define MARIGOLDCRANK_APP_LOG_FOLLOWER_HPP
 
@@ -20,7 +20,7 @@
 namespace marigoldcrank
 {
 
-/// One thread; ends with the object.
+/// Runs one thread from construction to stop() or destruction.
 template <platform_log_port Log>
 class log_follower
 {
@@ -50,7 +50,8 @@
         return reachable_;
     }
 
-    /// True if the ledger holds all that was read; false while a snapshot is looked for.
+    /// True if the ledger holds all records that were read; false during the search for a
+    /// snapshot.
     bool synchronised() const noexcept
     {
         return !searching_;
@@ -78,8 +79,9 @@
             },
             [&](log_gap const& gap)
             {
-                log_warning(log_part::ledger,
-                            "Records expired unread; looks for a snapshot.");
+                log_warning(
+                    log_part::ledger,
+                    "Records expired before they were read; searching for a snapshot.");
                 search_from_ = gap.first_retained;
                 searching_ = true;
                 return true;
@@ -100,8 +102,9 @@
         }
     }
 
-    /// Folding on over the hole would give this node a ledger of its own: it would take
-    /// a lapsed lease for free and count usage twice.
+    /// Looks for a snapshot in a page. Folding records after the gap would give this node
+    /// a ledger that differs from all others: it would take an expired lease for a free
+    /// one and count usage twice.
     void search(log_page const& page)
     {
         auto offset = page.first;
@@ -112,7 +115,7 @@
             {
                 store_.restore(*found, boot_clock::now());
                 searching_ = false;
-                log_info(log_part::ledger, "Starts again from a snapshot.");
+                log_info(log_part::ledger, "Restored the ledger from a snapshot.");
                 return;
             }
             ++offset;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -1,4 +1,4 @@
-// One entry VM's daemon, put together from its parts.
+// Construction, start and shutdown of the daemon of an entry VM.
 //
 // Index: 1 parts, 2 life cycle
 #include "app/node_parts.hpp"
@@ -11,9 +11,10 @@
 
 namespace
 {
-constexpr std::size_t largest_report = 16'777'216; // bytes; some 100,000 figures
-constexpr millis      flush_timeout{2000};
-constexpr millis      drain_poll{20};
+constexpr std::size_t max_report_bytes =
+    16'777'216; // 16 MiB, about 100,000 usage figures
+constexpr millis flush_timeout{2000};
+constexpr millis drain_poll{20};
 
 std::vector<peer_address> peers_of(settings const& options)
 {
@@ -21,8 +22,8 @@
                                 [] { return std::vector<peer_address>{}; });
 }
 
-/// Entry VMs that share every limit: this one and its peers.
-std::size_t entry_count(settings const& options)
+/// Number of entry VMs that share each limit: this one and its peers.
+std::size_t entry_vm_count(settings const& options)
 {
     std::set<std::string> names{options.name};
     for (auto const& peer : peers_of(options))
@@ -32,8 +33,9 @@
     return names.size();
 }
 
-/// Differs between runs of the process, so that a late grant to an earlier run is none.
-std::uint64_t first_ask()
+/// First request number for shares of limits. It is random, so that a late grant to an
+/// earlier run of the process matches no request of this run.
+std::uint64_t random_first_ask()
 {
     constexpr std::size_t digits = 15;
     constexpr int         base = 16;
@@ -51,20 +53,20 @@
 node::parts::parts(settings value)
     : options(std::move(value)),
       spans(options.name, count_of(options.span_keep), options.span_file),
-      store([this] { pass_on_access(); }),
+      store([this] { broadcast_access(); }),
       platform(options.platform_host, static_cast<int>(options.platform_port),
                millis{options.platform_timeout_ms}, options.name),
       backend({millis{options.connect_ms}, millis{options.progress_ms}},
               millis{options.load_timeout_ms}, options.name),
       writer(platform, store), roster(options.data_centre, millis{options.peer_dead_ms}),
       poison(options.name, {.keep = millis{options.poison_keep_ms}},
-             [this](wire::peer_message& news) { pass_on(news); }),
+             [this](wire::peer_message& update) { broadcast_update(update); }),
       peers(options, peers_of(options),
-            [this](wire::peer_message const& message) { take_message(message); }),
+            [this](wire::peer_message const& message) { receive_message(message); }),
       usage(writer, store, peers, roster,
             {options.name, incarnation, millis{options.handoff_ms}}),
       reports(
-          millis{options.platform_timeout_ms}, options.name, [] {}, largest_report),
+          millis{options.platform_timeout_ms}, options.name, [] {}, max_report_bytes),
       reporter_lease(writer, store, "reporter", holder, terms()),
       reporter(writer, store, reports, reporter_lease,
                {holder, millis{options.window_ms}, millis{options.order_margin_ms},
@@ -73,7 +75,8 @@
       keeper(writer, store, keeper_lease,
              {millis{options.snapshot_every_ms},
               static_cast<std::uint64_t>(options.snapshot_every_records)}),
-      limits({.entries = static_cast<std::int64_t>(entry_count(options))}, first_ask()),
+      limits({.entries = static_cast<std::int64_t>(entry_vm_count(options))},
+             random_first_ask()),
       workers(count_of(options.http_threads)),
       book(writer, store, holder,
            [this](std::string const& owner) { return alive(owner); },
@@ -106,7 +109,7 @@
 
 // 2. Life cycle
 
-void node::parts::watch_traffic()
+void node::parts::add_traffic_metrics()
 {
     counters.watch("peer_bytes_total", "direction=\"sent\"",
                    [this] { return peers.bytes_sent(); });
@@ -119,7 +122,7 @@
 
 void node::parts::start()
 {
-    watch_traffic();
+    add_traffic_metrics();
     http_server_options const front{
         count_of(options.http_threads), count_of(options.overflow_threads),
         count_of(options.max_body_bytes), millis{options.caller_silence_ms}};
@@ -128,21 +131,22 @@
     path.watch_keys([this](std::string const& id) { return state_of_key(id); });
     callers.add_routes(server);
     callers.limit_by(limits);
-    operators.judge_by(callers.targets());
+    operators.set_target_ledger(callers.targets());
     operators.add_routes(server);
     bound =
         bind_port(server, front, options.http_host, static_cast<int>(options.http_port));
     if (!bound)
     {
-        log_error(log_part::node, "Cannot bind the port for callers.");
+        log_error(log_part::node,
+                  "Cannot bind the port for callers; the node does not serve.");
         return;
     }
     server_thread = std::thread([this] { server.listen_after_bind(); });
     duty_thread = std::thread([this] { run_duties(); });
     usage_thread = std::thread([this] { run_usage(); });
-    beat_thread = std::thread([this] { run_beats(); });
+    heartbeat_thread = std::thread([this] { run_heartbeats(); });
     keeper_thread = std::thread([this] { run_keeper(); });
-    book_thread = std::thread([this] { run_book(); });
+    idempotency_thread = std::thread([this] { run_idempotency(); });
     log_info(log_part::node, "Started " + holder + " in " + options.data_centre + ".");
 }
 
@@ -157,7 +161,7 @@
     parts_->server.stop();
     for (auto* thread :
          {&parts_->server_thread, &parts_->duty_thread, &parts_->usage_thread,
-          &parts_->beat_thread, &parts_->keeper_thread, &parts_->book_thread})
+          &parts_->heartbeat_thread, &parts_->keeper_thread, &parts_->idempotency_thread})
     {
         if (thread->joinable())
         {
@@ -195,31 +199,32 @@
     };
     parts_->callers.start_draining();
     log_info(log_part::node, "Draining.");
-    parts_->duties.hand_over();
-    // The balancer learns of it late and goes on sending for a while: refusing at once
-    // would show callers a planned stop.
+    parts_->duties.release_duties();
+    // The balancer notices the drain late and continues to send calls for a while. If
+    // they were refused at once, callers would see errors during a planned stop.
     std::this_thread::sleep_for(millis{parts_->options.drain_notice_ms});
     parts_->callers.refuse_new();
     bool const served = wait_for([this] { return parts_->callers.inflight() == 0; });
-    // Recorder, book and keeper are each used by one thread: two flushes at once would
-    // drop a batch that only one of them had appended.
-    parts_->duties_over = true;
+    // The usage recorder, the idempotency log and the snapshot keeper are each used by
+    // one thread: two concurrent flushes could drop a batch that only one of them
+    // appended.
+    parts_->duties_ended = true;
     for (auto* thread : {&parts_->usage_thread, &parts_->duty_thread,
-                         &parts_->keeper_thread, &parts_->book_thread})
+                         &parts_->keeper_thread, &parts_->idempotency_thread})
     {
         thread->join();
     }
-    // What peers left here leaves with this node, so it goes into the log as well.
+    // Usage in custody for peers would be lost with this node, so it is appended as well.
     bool const billed = wait_for(
         [this] {
             return parts_->usage.flush(flush_timeout) &&
-                   parts_->settle_custody(millis::zero());
+                   parts_->append_custody(millis::zero());
         });
     bool const settled = wait_for([this] { return parts_->book.flush(flush_timeout); });
     parts_->reporter_lease.release();
     parts_->keeper_lease.release();
     bool const whole = served && billed && settled;
-    log_info(log_part::node, whole ? "Drained." : "Stopped before it drained.");
+    log_info(log_part::node, whole ? "Drained." : "Stopped before the drain completed.");
     return whole;
 }
 
--- a/src/app/node.hpp
+++ b/src/app/node.hpp
@@ -1,4 +1,4 @@
-// One entry VM's daemon, put together from its parts.
+// The daemon of an entry VM.
 //
 // Index: node
 #ifndef MARIGOLDCRANK_APP_NODE_HPP
@@ -11,7 +11,7 @@
 namespace marigoldcrank
 {
 
-/// Runs all threads of the daemon from construction to destruction.
+/// Starts all threads of the daemon in the constructor and joins them in the destructor.
 class node
 {
 public:
@@ -23,12 +23,13 @@
     /// False if the port for callers could not be bound.
     bool listening() const noexcept;
 
-    /// Graceful shutdown: tells the balancer, finishes what is in progress, hands usage
-    /// and duties over. Returns when nothing is left, or after drain_ms.
-    /// False if something was still in progress or some usage not yet in the log then.
+    /// Graceful shutdown: reports the drain to the balancer, releases the duties,
+    /// completes the calls in progress, and appends usage and call results to the log.
+    /// Returns when all of this is done, or after drain_ms. False if a call was still in
+    /// progress or a record was not yet in the log by then.
     bool drain();
 
-    /// True once an operator asked for a graceful shutdown.
+    /// True once an operator has requested a graceful shutdown.
     bool drain_requested() const noexcept;
 
 private:
--- a/src/app/node_duties.hpp
+++ b/src/app/node_duties.hpp
@@ -1,4 +1,4 @@
-// The order-giving duties of a node, put together from its settings.
+// Configures the duty runner of a node from its settings.
 //
 // Index: node_duties
 #ifndef MARIGOLDCRANK_APP_NODE_DUTIES_HPP
@@ -33,10 +33,10 @@
     {
     }
 
-    /// See duty_runner.
-    void hand_over()
+    /// Ends all duties and releases their leases; see duty_runner.
+    void release_duties()
     {
-        runner_.hand_over();
+        runner_.release_duties();
     }
 
     void stop()
@@ -70,7 +70,7 @@
 
     order_socket      orders_;
     http_engine_state engines_;
-    http_backend      probe_; // asks for loads, with timeouts shorter than a lease
+    http_backend      probe_; // queries loads, with timeouts shorter than a lease
     duty_runner<http_platform, http_platform, order_socket, http_engine_state,
                 http_backend>
         runner_;
--- a/src/app/node_parts.hpp
+++ b/src/app/node_parts.hpp
@@ -1,9 +1,9 @@
-// The parts of a daemon, in the order in which they are made.
+// Components, threads and state of the daemon, in order of construction.
 //
 // Index: node::parts
 //
-// Only the files that put the daemon together include this: node.cpp, node_peers.cpp and
-// node_work.cpp.
+// Only the implementation files of the daemon include this header: node.cpp,
+// node_peers.cpp and node_work.cpp.
 #ifndef MARIGOLDCRANK_APP_NODE_PARTS_HPP
 #define MARIGOLDCRANK_APP_NODE_PARTS_HPP
 
@@ -34,7 +34,8 @@
 namespace marigoldcrank
 {
 
-/// A part may use those above it; the threads come last and end first.
+/// A component may use those declared above it. The threads are declared last and are
+/// joined before any component is destroyed.
 struct node::parts
 {
     static constexpr std::size_t incarnation_digits = 12;
@@ -44,10 +45,10 @@
     settings          options;
     std::string       incarnation = random_id(incarnation_digits);
     std::string       holder = options.name + "/" + incarnation;
-    std::atomic<bool> started{false}; // all parts stand; messages before are dropped
+    std::atomic<bool> started{false}; // earlier messages of peers are dropped
     std::atomic<bool> stopping{false};
     std::atomic<bool> drain_wanted{false};
-    std::atomic<bool> duties_over{false};
+    std::atomic<bool> duties_ended{false};
 
     metrics                                     counters;
     span_store                                  spans;
@@ -81,34 +82,34 @@
     std::thread                                 server_thread;
     std::thread                                 duty_thread;
     std::thread                                 usage_thread;
-    std::thread                                 beat_thread;
+    std::thread                                 heartbeat_thread;
     std::thread                                 keeper_thread;
-    std::thread                                 book_thread;
+    std::thread                                 idempotency_thread;
 
     lease_terms        terms() const;
     wire::peer_message message() const;
-    void               pass_on_access();
-    void               take_message(wire::peer_message const& message);
-    void               take_beat(wire::peer_message const& message);
-    void               take_handoff(wire::peer_message const& message);
-    wire::peer_message beat_message() const;
+    void               broadcast_access();
+    void               receive_message(wire::peer_message const& message);
+    void               receive_heartbeat(wire::peer_message const& message);
+    void               receive_handoff(wire::peer_message const& message);
+    wire::peer_message heartbeat_message() const;
     wire::peer_message rules_message() const;
     wire::peer_message withdrawals_message() const;
     key_state          state_of_key(std::string const& key_id) const;
     void               run_duties();
     void               run_usage();
-    bool               settle_custody(millis hold);
+    bool               append_custody(millis hold);
     wire::peer_message drains_message() const;
     void               pause(millis duration) const;
-    void               run_beats();
-    void               share_limits(std::uint64_t turn);
-    void               take_limit(wire::peer_message const& received);
-    void               watch_traffic();
+    void               run_heartbeats();
+    void               request_limits(std::uint64_t turn);
+    void               receive_limit(wire::peer_message const& received);
+    void               add_traffic_metrics();
     void               run_keeper();
     void               add_usage(wire::usage_delta delta);
-    void               pass_on(wire::peer_message& news);
+    void               broadcast_update(wire::peer_message& update);
     bool               alive(std::string const& owner) const;
-    void               run_book();
+    void               run_idempotency();
     void               start();
 };
 
--- a/src/app/node_peers.cpp
+++ b/src/app/node_peers.cpp
@@ -1,4 +1,4 @@
-// What a daemon tells its peers and takes from them.
+// Messages that the daemon sends to its peers and receives from them.
 //
 // Index: 1 messages out, 2 messages in, 3 limits
 #include "app/node_parts.hpp"
@@ -16,7 +16,7 @@
     return result;
 }
 
-/// The configuration in force, for peers that are cut off from the platform.
+/// The configuration in force, for peers that cannot reach the platform.
 wire::peer_message node::parts::rules_message() const
 {
     auto result = message();
@@ -44,7 +44,7 @@
     return result;
 }
 
-wire::peer_message node::parts::beat_message() const
+wire::peer_message node::parts::heartbeat_message() const
 {
     auto const access = store.access();
     auto       result = message();
@@ -58,20 +58,20 @@
     return result;
 }
 
-/// A heartbeat at once tells all peers that there is something new here; those that do
-/// not have it ask for it, so that rules travel only where they are missing.
-void node::parts::pass_on_access()
+/// Sends a heartbeat at once, because it carries the new revisions. Peers that lack the
+/// configuration request it, so that rules are sent only where they are missing.
+void node::parts::broadcast_access()
 {
     directory.set_drains(store.access()->drains);
     if (started)
     {
-        peers.broadcast(beat_message());
+        peers.broadcast(heartbeat_message());
     }
 }
 
 // 2. Messages in
 
-void node::parts::take_message(wire::peer_message const& message)
+void node::parts::receive_message(wire::peer_message const& message)
 {
     if (!started)
     {
@@ -80,14 +80,14 @@
     switch (message.body_case())
     {
     case wire::peer_message::kBeat:
-        take_beat(message);
+        receive_heartbeat(message);
         break;
     case wire::peer_message::kConfiguration:
         store.offer(message.configuration());
         break;
     case wire::peer_message::kLimitWanted:
     case wire::peer_message::kLimitLent:
-        take_limit(message);
+        receive_limit(message);
         break;
     case wire::peer_message::kDrains:
         store.offer(message.drains());
@@ -102,7 +102,7 @@
         store.offer(message.withdrawals());
         break;
     case wire::peer_message::kHandoff:
-        take_handoff(message);
+        receive_handoff(message);
         break;
     case wire::peer_message::kHandoffAck:
         usage.acknowledged(message.from(), message.handoff_ack());
@@ -118,14 +118,14 @@
     }
 }
 
-void node::parts::pass_on(wire::peer_message& news)
+void node::parts::broadcast_update(wire::peer_message& update)
 {
-    news.set_from(options.name);
-    news.set_incarnation(incarnation);
-    peers.broadcast(news);
+    update.set_from(options.name);
+    update.set_incarnation(incarnation);
+    peers.broadcast(update);
 }
 
-/// `owner` is name and incarnation with a slash between.
+/// `owner` has the form name/incarnation.
 bool node::parts::alive(std::string const& owner) const
 {
     auto const slash = owner.find('/');
@@ -134,21 +134,22 @@
                         boot_clock::now());
 }
 
-/// Peers that differ are brought together: the one behind asks for the rules, and each
-/// sends the other the withdrawn keys that it knows. So a node that missed a broadcast,
-/// or started after it, has the newest within a heartbeat or two.
-void node::parts::take_beat(wire::peer_message const& message)
+/// Compares the peer's revisions with this node's. The node with the older configuration
+/// requests the newer one, each sends the other its withdrawn keys if their digests
+/// differ, and the node with newer drains sends them. A node that missed a broadcast, or
+/// started after it, has the newest state within one or two heartbeats.
+void node::parts::receive_heartbeat(wire::peer_message const& message)
 {
     auto const& beat = message.beat();
     auto const  access = store.access();
-    for (auto& news : poison.news_for(message.from(), message.incarnation()))
+    for (auto& update : poison.news_for(message.from(), message.incarnation()))
     {
-        news.set_from(options.name);
-        news.set_incarnation(incarnation);
-        peers.send(message.from(), news);
+        update.set_from(options.name);
+        update.set_incarnation(incarnation);
+        peers.send(message.from(), update);
     }
-    roster.heard(message.from(), {message.incarnation(), beat.data_centre(),
-                                  beat.draining(), boot_clock::now()});
+    roster.record_heartbeat(message.from(), {message.incarnation(), beat.data_centre(),
+                                             beat.draining(), boot_clock::now()});
     if (beat.config_revision() > access->revision())
     {
         auto wanted = this->message();
@@ -165,8 +166,8 @@
     }
 }
 
-/// The acknowledgement goes out only after the deltas are kept.
-void node::parts::take_handoff(wire::peer_message const& message)
+/// The acknowledgement is sent only after the deltas are stored.
+void node::parts::receive_handoff(wire::peer_message const& message)
 {
     custody.take(message.handoff(), boot_clock::now());
     auto  answer = this->message();
@@ -177,13 +178,13 @@
     peers.send(message.from(), answer);
 }
 
-void node::parts::run_beats()
+void node::parts::run_heartbeats()
 {
     std::uint64_t turn = 0;
     while (!stopping)
     {
-        share_limits(turn++);
-        peers.broadcast(beat_message());
+        request_limits(turn++);
+        peers.broadcast(heartbeat_message());
         std::this_thread::sleep_for(millis{options.heartbeat_ms});
     }
 }
@@ -201,8 +202,8 @@
 
 // 3. Limits
 
-/// With each heartbeat; each ask goes to another live peer in turn.
-void node::parts::share_limits(std::uint64_t turn)
+/// Called with each heartbeat. The live peers receive the requests in turn.
+void node::parts::request_limits(std::uint64_t turn)
 {
     auto const access = store.access();
     if (access->config)
@@ -225,7 +226,7 @@
     }
 }
 
-void node::parts::take_limit(wire::peer_message const& received)
+void node::parts::receive_limit(wire::peer_message const& received)
 {
     auto const now = boot_clock::now();
     if (received.has_limit_lent())
--- a/src/app/node_work.cpp
+++ b/src/app/node_work.cpp
@@ -1,4 +1,4 @@
-// What a daemon does beside serving: duties, usage, the book of calls.
+// Background work of the daemon: duties, usage and the idempotency log.
 //
 // Index: 1 duties, 2 usage, 3 calls
 #include "app/node_parts.hpp"
@@ -8,17 +8,17 @@
 
 namespace
 {
-constexpr millis duty_pause{50};
+constexpr millis duty_interval{50};
 constexpr millis flush_timeout{2000};
 constexpr millis drain_poll{20};
-constexpr millis book_pause{100};
+constexpr millis idempotency_interval{100};
 } // namespace
 
 // 1. Duties
 
 void node::parts::run_duties()
 {
-    while (!stopping && !duties_over)
+    while (!stopping && !duties_ended)
     {
         auto const now = boot_clock::now();
         if (!callers.draining())
@@ -26,30 +26,30 @@
             reporter_lease.step(now);
         }
         reporter.step(boot_clock::now());
-        std::this_thread::sleep_for(duty_pause);
+        std::this_thread::sleep_for(duty_interval);
     }
 }
 
-/// On a thread of its own: an append of one duty that waits for a slow log must not keep
-/// the other from renewing its lease.
+/// Runs on its own thread: while one duty waits for an append to a slow log, the other
+/// must still renew its lease.
 void node::parts::run_keeper()
 {
-    while (!stopping && !duties_over)
+    while (!stopping && !duties_ended)
     {
         if (!callers.draining())
         {
             keeper_lease.step(boot_clock::now());
         }
         keeper.step(boot_clock::now(), follower.first_retained());
-        std::this_thread::sleep_for(duty_pause);
+        std::this_thread::sleep_for(duty_interval);
     }
 }
 
-/// Ends early when a drain ends the duties, which must not wait out a long interval.
+/// Sleeps for `duration`, but returns early when a drain ends the duties.
 void node::parts::pause(millis duration) const
 {
     auto const until = boot_clock::now() + duration;
-    while (!stopping && !duties_over && boot_clock::now() < until)
+    while (!stopping && !duties_ended && boot_clock::now() < until)
     {
         std::this_thread::sleep_for(drain_poll);
     }
@@ -59,17 +59,17 @@
 
 void node::parts::run_usage()
 {
-    while (!stopping && !duties_over)
+    while (!stopping && !duties_ended)
     {
         usage.hand_off_again(boot_clock::now());
         usage.flush(flush_timeout);
-        settle_custody(millis{options.custody_hold_ms});
+        append_custody(millis{options.custody_hold_ms});
         pause(millis{options.usage_flush_ms});
     }
 }
 
-/// Appends what peers that are gone left here. True if nothing overdue is left.
-bool node::parts::settle_custody(millis hold)
+/// Appends overdue usage that peers handed to this node. True if nothing overdue is left.
+bool node::parts::append_custody(millis hold)
 {
     store.with_ledger(
         [&](ledger const& value)
@@ -106,13 +106,13 @@
 
 // 3. Calls
 
-/// Releases and results that the log has not taken yet.
-void node::parts::run_book()
+/// Appends releases and results of calls that are not in the log yet.
+void node::parts::run_idempotency()
 {
-    while (!stopping && !duties_over)
+    while (!stopping && !duties_ended)
     {
         book.flush(flush_timeout);
-        std::this_thread::sleep_for(book_pause);
+        std::this_thread::sleep_for(idempotency_interval);
     }
 }
 
--- a/src/app/operator_front.hpp
+++ b/src/app/operator_front.hpp
@@ -1,4 +1,5 @@
-// Routes for operators, behind the operators' key: rules, keys, status, explain, usage.
+// HTTP routes for operators, protected by the operator key: rules, keys, drains, status,
+// explain, usage, history and latency targets.
 //
 // Index: 1 operator_front, 2 rules and keys, 3 views
 #ifndef MARIGOLDCRANK_APP_OPERATOR_FRONT_HPP
@@ -22,7 +23,7 @@
 namespace marigoldcrank
 {
 
-/// Adds its routes to a server; must outlive it.
+/// Adds its routes to a server, and must outlive that server.
 template <platform_log_port Log, peer_port Peers>
 class operator_front
 {
@@ -37,8 +38,8 @@
     {
     }
 
-    /// What /admin/targets answers from; set before the first request.
-    void judge_by(target_ledger const& ledger)
+    /// Sets the source of /admin/targets. Must be called before the first request.
+    void set_target_ledger(target_ledger const& ledger)
     {
         targets_ = &ledger;
     }
@@ -114,8 +115,9 @@
                 {"rules", access->config->text}};
     }
 
-    /// Body: change_id, base_revision, rules, author. A change whose answer was lost is
-    /// settled by sending it again: the fold knows its id.
+    /// Body: change_id, base_revision, rules, author. If the response is lost, the
+    /// operator sends the same change again; the fold recognises its id and applies it
+    /// once.
     json apply(httplib::Request const& request)
     {
         auto const body = json::parse(request.body, nullptr, false);
@@ -125,7 +127,7 @@
         {
             return {{"outcome", "malformed"}};
         }
-        auto const refused = judge(body["rules"].get<std::string>());
+        auto const refused = validate_rules(body["rules"].get<std::string>());
         if (!refused.empty())
         {
             return {{"outcome", "invalid"}, {"failures", refused}};
@@ -142,7 +144,7 @@
         return verdict_of(id);
     }
 
-    static json judge(std::string const& rules)
+    static json validate_rules(std::string const& rules)
     {
         return leaf::try_handle_all(
             [&]() -> leaf::result<json>
@@ -178,8 +180,9 @@
             });
     }
 
-    /// Peers hear of a withdrawal before the log does, so that it works while the
-    /// platform is out; the keeper appends it later if this append comes to nothing.
+    /// Body: key_id, compromised. The withdrawal is sent to peers before it is appended,
+    /// so that it takes effect while the platform is unreachable. If the append fails,
+    /// the holder of the keeper duty appends the withdrawal later.
     json withdraw(httplib::Request const& request)
     {
         auto const body = json::parse(request.body, nullptr, false);
@@ -206,8 +209,8 @@
         return {{"outcome", "draining"}};
     }
 
-    /// Body: scope (server or data_centre), name, drained, author. Goes through the log,
-    /// so that all nodes agree; saying it again changes nothing.
+    /// Body: scope (server or data_centre), name, drained, author. The drain is appended
+    /// to the log, so that all nodes agree on it. Repeating the request changes nothing.
     json drain_servers(httplib::Request const& request)
     {
         auto const body = json::parse(request.body, nullptr, false);
@@ -328,7 +331,7 @@
             });
     }
 
-    /// The chain of changes and those that lost a race, oldest first.
+    /// Accepted changes, and changes refused because of a conflict, oldest first.
     json history(httplib::Request const&)
     {
         return store_.with_ledger(
--- a/src/app/order_journal.hpp
+++ b/src/app/order_journal.hpp
@@ -1,4 +1,5 @@
-// The orders of one duty: intents and outcomes through the log, sending under the lease.
+// Orders of one duty: records intents and outcomes in the log, and sends orders only
+// while the duty's lease is held.
 //
 // Index: 1 order_terms, 2 tracked_order, 3 order_journal
 #ifndef MARIGOLDCRANK_APP_ORDER_JOURNAL_HPP
@@ -19,19 +20,19 @@
 namespace marigoldcrank
 {
 
-/// Durations of orders.
+/// Timing of orders.
 struct order_terms
 {
-    millis margin{500};   // 500    a successor's wait for packets in flight
-    millis notice{500};   // 500    for all entry VMs to read of a drain
-    millis settle{60000}; // 60000  until an order without effect is given up
-    millis every{200};    // 200    between looks at the truth
-    millis append{2000};  // 2000   wait for an intent or outcome to be read back
+    millis margin{500};   // 500    wait of a new holder for packets in flight
+    millis notice{500};   // 500    time in which all entry VMs read of a drain
+    millis settle{60000}; // 60000  age at which an order without effect is abandoned
+    millis every{200};    // 200    between checks of engines and VM list
+    millis append{2000};  // 2000   wait until an intent or outcome is read back
 
     bool operator==(order_terms const&) const = default;
 };
 
-/// An open order with what this process knows of it.
+/// An open order of the log, and the progress that this process knows of.
 struct tracked_order
 {
     open_order             entry;
@@ -40,7 +41,7 @@
     boot_clock::time_point seen_at{}; // when this process first saw it open
 };
 
-/// Used by one thread.
+/// Not thread-safe: used by one thread.
 template <platform_log_port Log, order_port Orders>
 class order_journal
 {
@@ -53,16 +54,16 @@
     {
     }
 
-    /// The lease, once orders may be given under it. A new holder waits for what its
-    /// predecessor may still have on the network: its lease is over, but a packet that
-    /// left in time can be on its way.
+    /// The lease, once orders may be given under it. A new holder waits for `margin`,
+    /// because a packet that the previous holder sent before its lease ended can still be
+    /// on the network.
     std::optional<held_lease> authority(boot_clock::time_point now, millis margin) const
     {
         auto const held = lease_.held(now);
         return held && now - held->since >= margin ? held : std::nullopt;
     }
 
-    /// Open orders of the duty, as the log has them.
+    /// The open orders of the duty according to the log.
     std::vector<tracked_order> open(held_lease const& held, boot_clock::time_point now)
     {
         auto const entries = store_.with_ledger(
@@ -72,7 +73,7 @@
         for (auto const& entry : entries)
         {
             auto const found = notes_.find(entry.order_id);
-            auto const own = found == notes_.end() ? unexpected(now) : found->second;
+            auto const own = found == notes_.end() ? not_sent_here(now) : found->second;
             known.emplace(entry.order_id, own);
             result.push_back({entry, read_wanted(entry),
                               progress_of(entry, own, held, now), own.seen_at});
@@ -81,9 +82,10 @@
         return result;
     }
 
-    /// Appends an intent. The order may be sent once `open` shows it, and only if the
-    /// intent was read back here.
-    void intend(held_lease const& held, std::string const& place, order const& wanted)
+    /// Appends an intent. The order may be sent once `open` returns it, and only if this
+    /// process read the intent back in time.
+    void intend(held_lease const& held, std::string const& target_name,
+                order const& wanted)
     {
         wire::log_record record;
         auto*            body = record.mutable_intent();
@@ -91,7 +93,7 @@
         body->set_duty(lease_.duty());
         body->set_epoch(held.epoch);
         body->set_holder(holder_);
-        body->set_target(lease_.duty() + "/" + place);
+        body->set_target(lease_.duty() + "/" + target_name);
         body->set_wanted(format_order(wanted));
         auto span = scope(body->order_id(), "order.intend", body->target());
         span->note("order.wanted", body->wanted());
@@ -104,6 +106,7 @@
         }
     }
 
+    /// Appends the outcome of an order, which closes it.
     void close(held_lease const& held, tracked_order const& tracked, order_end end)
     {
         wire::log_record record;
@@ -119,12 +122,13 @@
         if (writer_.append(record, terms_.append))
         {
             log_info(log_part::order, "Order " + tracked.entry.order_id + " for " +
-                                          tracked.entry.target + " is " + name_of(end) +
-                                          ".");
+                                          tracked.entry.target + " closed as " +
+                                          name_of(end) + ".");
         }
     }
 
-    /// Sends the order under the lease as it is now, if it still is that epoch.
+    /// Sends the order if the lease is still held under the same epoch. No byte is sent
+    /// after the end of the lease.
     void send(held_lease const& held, tracked_order const& tracked, order_message message)
     {
         auto const current = lease_.held(boot_clock::now());
@@ -136,14 +140,14 @@
         message.fence = current->epoch;
         auto span = scope(message.order_id, "order.send", tracked.entry.target);
         span->note("order.fence", std::to_string(message.fence));
-        // Noted before the send: if anything goes wrong below, it may have had effect.
+        // Set before the send: if the send fails, the order may have taken effect.
         auto& own = notes_[tracked.entry.order_id];
         own.sending = order_sending::may_have_effect;
         own.sending = leaf::try_handle_all(
             [&]() -> leaf::result<order_sending>
             {
                 BOOST_LEAF_AUTO(answer, orders_.send(message, current->valid_until));
-                // Only a refusal of this very order says that it had no effect.
+                // Only a refusal of this order shows that it had no effect.
                 bool const refused =
                     answer.status >= status_refused && answer.status < status_failed;
                 return refused ? order_sending::without_effect
@@ -171,22 +175,22 @@
     static constexpr int         status_refused = 400;
     static constexpr int         status_failed = 500;
 
-    /// What this process remembers of an open order.
+    /// What this process knows of an open order.
     struct note
     {
         boot_clock::time_point seen_at{};
         order_sending          sending = order_sending::not_sent;
     };
 
-    /// An intent that this process gave up on and that took effect late, or one of an
-    /// earlier holder. This process has sent nothing for it and never will: the need that
-    /// it was for has been judged anew since.
-    static note unexpected(boot_clock::time_point now)
+    /// State of an intent that took effect after this process stopped waiting for it, or
+    /// of an earlier holder's intent. This process has sent nothing for it and never
+    /// will, because it has decided anew since then what is needed.
+    static note not_sent_here(boot_clock::time_point now)
     {
         return {now, order_sending::without_effect};
     }
 
-    /// All spans of an order share a trace, whose id is the order's.
+    /// All spans of an order share a trace, whose id is the order id.
     std::unique_ptr<span_scope> scope(std::string const& order_id, std::string name,
                                       std::string const& target)
     {
--- a/src/app/peer_roster.cpp
+++ b/src/app/peer_roster.cpp
@@ -1,4 +1,4 @@
-// What this node knows of its peers.
+// Liveness of peers and the choice of custodians for usage.
 #include "app/peer_roster.hpp"
 
 #include <algorithm>
@@ -11,21 +11,21 @@
 {
 }
 
-bool peer_roster::heard(std::string const& name, peer_note const& note)
+bool peer_roster::record_heartbeat(std::string const& name, peer_status const& note)
 {
     std::lock_guard const lock(mutex_);
     auto&                 held = notes_[name];
-    auto const            failed_at = held.failed_at;
+    auto const            last_failure = held.last_failure;
     bool const            fresh = held.incarnation != note.incarnation;
     held = note;
-    held.failed_at = failed_at;
+    held.last_failure = last_failure;
     return fresh;
 }
 
-void peer_roster::failed(std::string const& name, boot_clock::time_point now)
+void peer_roster::record_failure(std::string const& name, boot_clock::time_point now)
 {
     std::lock_guard const lock(mutex_);
-    notes_[name].failed_at = now;
+    notes_[name].last_failure = now;
 }
 
 bool peer_roster::alive(std::string const& name, std::string const& incarnation,
@@ -34,7 +34,7 @@
     std::lock_guard const lock(mutex_);
     auto const            found = notes_.find(name);
     return found != notes_.end() && found->second.incarnation == incarnation &&
-           now - found->second.heard_at < dead_after_;
+           now - found->second.last_heartbeat < dead_after_;
 }
 
 bool peer_roster::alive(std::string const& owner, boot_clock::time_point now) const
@@ -44,12 +44,12 @@
            alive(owner.substr(0, slash), owner.substr(slash + 1), now);
 }
 
-std::vector<std::string> peer_roster::keepers(boot_clock::time_point now,
-                                              std::uint64_t          turn) const
+std::vector<std::string> peer_roster::custodians(boot_clock::time_point now,
+                                                 std::uint64_t          turn) const
 {
     struct candidate
     {
-        int         rank = 0; // 2 for a late failure, 1 for another data centre
+        int         rank = 0; // 2 for a recent failure, 1 for another data centre
         std::string name;
     };
     std::vector<candidate> found;
@@ -57,12 +57,12 @@
         std::lock_guard const lock(mutex_);
         for (auto const& [name, note] : notes_)
         {
-            if (now - note.heard_at >= dead_after_ || note.draining)
+            if (now - note.last_heartbeat >= dead_after_ || note.draining)
             {
                 continue;
             }
-            bool const failed = note.failed_at != boot_clock::time_point{} &&
-                                now - note.failed_at < dead_after_;
+            bool const failed = note.last_failure != boot_clock::time_point{} &&
+                                now - note.last_failure < dead_after_;
             bool const elsewhere = note.data_centre != data_centre_;
             found.push_back({(failed ? 2 : 0) + (elsewhere ? 1 : 0), name});
         }
--- a/src/app/peer_roster.hpp
+++ b/src/app/peer_roster.hpp
@@ -1,6 +1,6 @@
-// What this node knows of its peers from their heartbeats.
+// Tracks which peers are alive from their heartbeats, and ranks custodians for usage.
 //
-// Index: 1 peer_note, 2 peer_roster
+// Index: 1 peer_status, 2 peer_roster
 #ifndef MARIGOLDCRANK_APP_PEER_ROSTER_HPP
 #define MARIGOLDCRANK_APP_PEER_ROSTER_HPP
 
@@ -14,49 +14,49 @@
 namespace marigoldcrank
 {
 
-/// The last heartbeat of a peer.
-struct peer_note
+/// The last heartbeat of a peer, and its last failure to acknowledge a handoff.
+struct peer_status
 {
     std::string            incarnation;
     std::string            data_centre;
-    bool                   draining = false; // it takes nothing new
-    boot_clock::time_point heard_at{};
-    boot_clock::time_point failed_at{}; // last time it did not answer in time
+    bool                   draining = false; // it accepts no new usage
+    boot_clock::time_point last_heartbeat{};
+    boot_clock::time_point last_failure{}; // last time it did not acknowledge in time
 
-    bool operator==(peer_note const&) const = default;
+    bool operator==(peer_status const&) const = default;
 };
 
-/// Safe to use from several threads.
+/// A peer is alive for `dead_after` from its last heartbeat. Thread-safe.
 class peer_roster
 {
 public:
     peer_roster(std::string data_centre, millis dead_after);
 
-    /// Notes a heartbeat. True if it is the first of this incarnation: a restarted peer
-    /// has the same name and nothing of what its earlier incarnation knew.
-    bool heard(std::string const& name, peer_note const& note);
+    /// Records a heartbeat. True if it is the first of this incarnation: a restarted peer
+    /// has the same name, but none of the state of its earlier incarnation.
+    bool record_heartbeat(std::string const& name, peer_status const& note);
 
-    /// Notes that a peer did not answer: it goes last for a while.
-    void failed(std::string const& name, boot_clock::time_point now);
+    /// Records that a peer did not acknowledge in time. It ranks last for `dead_after`.
+    void record_failure(std::string const& name, boot_clock::time_point now);
 
-    /// True if this run of the peer was heard of lately.
+    /// True if this incarnation of the peer sent a heartbeat within `dead_after`.
     bool alive(std::string const& name, std::string const& incarnation,
                boot_clock::time_point now) const;
 
-    /// The same of `owner`, which is name and incarnation with a slash between.
+    /// The same for `owner`, which has the form name/incarnation.
     bool alive(std::string const& owner, boot_clock::time_point now) const;
 
-    /// Live peers that may keep something for this node, the best first: those that
-    /// answered, then those in the same data centre, then by name. `turn` spreads the
-    /// load over equals.
-    std::vector<std::string> keepers(boot_clock::time_point now,
-                                     std::uint64_t          turn) const;
+    /// Live peers that can hold usage for this node, the best first: peers without a
+    /// recent failure come before others, then peers in the same data centre. `turn`
+    /// rotates peers of the same rank, which spreads the load.
+    std::vector<std::string> custodians(boot_clock::time_point now,
+                                        std::uint64_t          turn) const;
 
 private:
-    std::string                      data_centre_;
-    millis                           dead_after_;
-    mutable std::mutex               mutex_;
-    std::map<std::string, peer_note> notes_;
+    std::string                        data_centre_;
+    millis                             dead_after_;
+    mutable std::mutex                 mutex_;
+    std::map<std::string, peer_status> notes_;
 };
 
 } // namespace marigoldcrank
--- a/src/app/server_drain.hpp
+++ b/src/app/server_drain.hpp
@@ -1,4 +1,4 @@
-// Whether a backend server has finished what it had when its drain began.
+// Tells whether a draining backend server has completed its work.
 //
 // Index: server_drain
 #ifndef MARIGOLDCRANK_APP_SERVER_DRAIN_HPP
@@ -9,16 +9,17 @@
 namespace marigoldcrank
 {
 
-/// The server's own report counts, not this entry VM's count: others have streams on it.
+/// Uses the server's own load report, because other entry VMs have streams on it too.
 template <backend_port Backend>
 class server_drain
 {
 public:
-    /// `notice` is the time in which all entry VMs read of the drain.
+    /// `notice` is the time within which all entry VMs read of the drain.
     server_drain(Backend& backend, millis notice) : backend_(backend), notice_(notice) {}
 
-    /// True if a report made after the notice shows no work. Reports lag, and state how
-    /// old they are: one from before the notice could miss a stream that began since.
+    /// True if a load report made after the notice shows no running or waiting work.
+    /// Reports lag and state their age: one from before the end of the notice could miss
+    /// a stream that began since.
     bool idle(backend_server const& server, boot_clock::time_point drain_began)
     {
         return leaf::try_handle_all(
--- a/src/app/snapshot_keeper.hpp
+++ b/src/app/snapshot_keeper.hpp
@@ -1,7 +1,7 @@
-// The keeper's duty: snapshots of the ledger well before records expire, and withdrawals
-// of keys that the log has not heard of.
+// Keeper duty: appends snapshots of the ledger before records expire, and withdrawals of
+// keys that the log does not hold yet.
 //
-// Index: 1 keeper_options, 2 snapshot_keeper
+// Index: 1 snapshot_options, 2 snapshot_keeper
 #ifndef MARIGOLDCRANK_APP_SNAPSHOT_KEEPER_HPP
 #define MARIGOLDCRANK_APP_SNAPSHOT_KEEPER_HPP
 
@@ -14,43 +14,46 @@
 namespace marigoldcrank
 {
 
-struct keeper_options
+/// Limits on the distance between snapshots.
+struct snapshot_options
 {
-    millis        every{60000};        // 60000  longest time between snapshots
-    std::uint64_t every_records{5000}; // 5000  most records between snapshots
+    millis        max_interval{60000}; // 60000  max. time between snapshots
+    std::uint64_t max_records{5000};   // 5000  max. records between snapshots
 };
 
-/// True if a snapshot is due. Once records expire, a snapshot must be renewed before the
-/// first retained record passes it: at half of what the log holds there is as much time
-/// again for slow and lost appends.
+/// True if a snapshot is due. Once records expire, a new snapshot must be in the log
+/// before retention passes the last one. It is due when half of the retained records
+/// precede the last snapshot's end, which leaves the other half as time for slow and lost
+/// appends.
 inline bool snapshot_due(ledger const& value, std::uint64_t first_retained,
-                         millis since_last, keeper_options const& options)
+                         millis since_last, snapshot_options const& options)
 {
     auto const next = value.next_offset();
     auto const through = value.snapshot_through();
     bool const any_new = next > through + 1;
     bool const half_gone =
         first_retained > 1 && through < first_retained + (next - first_retained) / 2;
-    return any_new && (half_gone || since_last >= options.every ||
-                       next - through > options.every_records);
+    return any_new && (half_gone || since_last >= options.max_interval ||
+                       next - through > options.max_records);
 }
 
-/// `step` is called by one thread.
+/// `step` must be called by one thread only.
 template <platform_log_port Log>
 class snapshot_keeper
 {
 public:
     snapshot_keeper(log_writer<Log>& writer, ledger_store& store,
-                    lease_keeper<Log>& lease, keeper_options options)
+                    lease_keeper<Log>& lease, snapshot_options options)
         : writer_(writer), store_(store), lease_(lease), options_(options)
     {
     }
 
-    /// Does what is due. Two keepers at once would only append twice: every snapshot of
-    /// the same prefix is the same, and withdrawals add up.
+    /// Appends missing withdrawals and a snapshot, if they are due. Two keepers at once
+    /// append only duplicates: snapshots of the same prefix of the log are equal, and a
+    /// repeated withdrawal changes nothing.
     void step(boot_clock::time_point now, std::uint64_t first_retained)
     {
-        if (!lease_.held(now) || now - last_try_ < shortest_pause)
+        if (!lease_.held(now) || now - last_attempt_ < min_pause)
         {
             return;
         }
@@ -70,11 +73,11 @@
 
 private:
     static constexpr millis append_timeout{1000};
-    static constexpr millis shortest_pause{200}; // between two tries
+    static constexpr millis min_pause{200}; // between two attempts
 
     void append_snapshot(boot_clock::time_point now, std::uint64_t first_retained)
     {
-        last_try_ = now;
+        last_attempt_ = now;
         wire::log_record record;
         *record.mutable_ledger() =
             store_.with_ledger([](ledger const& value) { return value.snapshot(); });
@@ -85,13 +88,14 @@
         }
     }
 
-    /// A key can be withdrawn while the log is out; peers carry it until here.
+    /// A key can be withdrawn while the log is unavailable. Peers send it to each other
+    /// until the keeper appends it.
     void append_withdrawals(boot_clock::time_point now)
     {
         auto const missing = store_.unlogged_withdrawals();
         for (auto const& withdrawal : missing.withdrawals())
         {
-            last_try_ = now;
+            last_attempt_ = now;
             wire::log_record record;
             *record.mutable_withdrawal() = withdrawal;
             if (!writer_.append(record, append_timeout))
@@ -104,8 +108,8 @@
     log_writer<Log>&       writer_;
     ledger_store&          store_;
     lease_keeper<Log>&     lease_;
-    keeper_options         options_;
-    boot_clock::time_point last_try_{};
+    snapshot_options       options_;
+    boot_clock::time_point last_attempt_{};
     boot_clock::time_point last_done_{boot_clock::now()};
 };
 
--- a/src/app/usage_custody.cpp
+++ b/src/app/usage_custody.cpp
@@ -1,6 +1,6 @@
-// Usage of other nodes in custody.
+// Custody of other nodes' usage, and splitting of usage into batches.
 //
-// Index: 1 usage_custody, 2 batch_cutter
+// Index: 1 usage_custody, 2 batch_splitter
 #include "app/usage_custody.hpp"
 
 namespace marigoldcrank
@@ -11,23 +11,23 @@
 void usage_custody::take(wire::usage_batch const& batch, boot_clock::time_point now)
 {
     std::lock_guard const lock(mutex_);
-    auto&                 own = kept_[{batch.node(), batch.incarnation()}];
+    auto&                 own = held_[{batch.node(), batch.incarnation()}];
     auto                  sequence = batch.sequence();
     for (auto const& delta : batch.deltas())
     {
-        own.try_emplace(sequence++, kept_delta{delta, now});
+        own.try_emplace(sequence++, held_delta{delta, now});
     }
 }
 
 void usage_custody::forget_counted(usage_fold const& counted)
 {
     std::lock_guard const lock(mutex_);
-    for (auto each = kept_.begin(); each != kept_.end();)
+    for (auto each = held_.begin(); each != held_.end();)
     {
         auto const& name = each->first;
         std::erase_if(each->second, [&](auto const& entry)
                       { return counted.counted(name.first, name.second, entry.first); });
-        each = each->second.empty() ? kept_.erase(each) : std::next(each);
+        each = each->second.empty() ? held_.erase(each) : std::next(each);
     }
 }
 
@@ -37,18 +37,18 @@
 {
     std::vector<wire::usage_batch> result;
     std::lock_guard const          lock(mutex_);
-    for (auto const& [name, deltas] : kept_)
+    for (auto const& [name, deltas] : held_)
     {
-        auto const   wait = alive(name.first, name.second) ? hold * patience : hold;
-        batch_cutter cutter(name.first, name.second);
-        for (auto const& [sequence, kept] : deltas)
+        auto const wait = alive(name.first, name.second) ? hold * live_node_factor : hold;
+        batch_splitter splitter(name.first, name.second);
+        for (auto const& [sequence, held] : deltas)
         {
-            if (now - kept.taken_at >= wait)
+            if (now - held.received_at >= wait)
             {
-                cutter.add(sequence, kept.delta);
+                splitter.add(sequence, held.delta);
             }
         }
-        for (auto& batch : std::move(cutter).batches())
+        for (auto& batch : std::move(splitter).batches())
         {
             result.push_back(std::move(batch));
         }
@@ -60,23 +60,24 @@
 {
     std::lock_guard const lock(mutex_);
     std::size_t           count = 0;
-    for (auto const& [name, deltas] : kept_)
+    for (auto const& [name, deltas] : held_)
     {
         count += deltas.size();
     }
     return count;
 }
 
-// 2. batch_cutter
+// 2. batch_splitter
 
-batch_cutter::batch_cutter(std::string node, std::string incarnation)
+batch_splitter::batch_splitter(std::string node, std::string incarnation)
     : node_(std::move(node)), incarnation_(std::move(incarnation))
 {
 }
 
-void batch_cutter::add(std::uint64_t sequence, wire::usage_delta const& delta)
+void batch_splitter::add(std::uint64_t sequence, wire::usage_delta const& delta)
 {
-    bool const full = !batches_.empty() && batches_.back().deltas_size() >= largest_batch;
+    bool const full =
+        !batches_.empty() && batches_.back().deltas_size() >= max_batch_deltas;
     if (batches_.empty() || full || sequence != next_)
     {
         auto& batch = batches_.emplace_back();
@@ -88,7 +89,7 @@
     next_ = sequence + 1;
 }
 
-std::vector<wire::usage_batch> batch_cutter::batches() &&
+std::vector<wire::usage_batch> batch_splitter::batches() &&
 {
     return std::move(batches_);
 }
--- a/src/app/usage_custody.hpp
+++ b/src/app/usage_custody.hpp
@@ -1,6 +1,6 @@
-// Usage of other nodes that this node keeps until the log has it.
+// Copies of other nodes' usage, held until the log contains it.
 //
-// Index: usage_custody
+// Index: 1 usage_custody, 2 batch_splitter
 #ifndef MARIGOLDCRANK_APP_USAGE_CUSTODY_HPP
 #define MARIGOLDCRANK_APP_USAGE_CUSTODY_HPP
 
@@ -18,54 +18,56 @@
 namespace marigoldcrank
 {
 
-/// A node hands each delta to a peer before the answer ends, so that its death loses
-/// none: the peer appends what the node did not, under the node's own numbers. Being
-/// wrong about a death costs a repeat, which the fold drops. Safe to use from several
-/// threads.
+/// A node hands each usage delta to a peer before the response ends, so that none is lost
+/// if the node fails: the peer then appends the deltas under the node's own sequence
+/// numbers. If the node is in fact alive, the log receives a duplicate, which the fold
+/// drops. Thread-safe.
 class usage_custody
 {
 public:
     using liveness =
         std::function<bool(std::string const& node, std::string const& incarnation)>;
 
-    /// Takes deltas into custody; taking them again changes nothing.
+    /// Stores the deltas of a batch. Storing them again changes nothing.
     void take(wire::usage_batch const& batch, boot_clock::time_point now);
 
-    /// Forgets what the ledger has counted.
+    /// Removes the deltas that the ledger has counted.
     void forget_counted(usage_fold const& counted);
 
-    /// Batches to append now: deltas kept longer than `hold` whose node is gone, and
-    /// those kept much longer whose node lives but seems cut off from the log.
+    /// Batches to append now: deltas held for at least `hold` whose node is gone, and
+    /// deltas held for a multiple of it whose node is alive but cannot reach the log, as
+    /// it seems.
     std::vector<wire::usage_batch> overdue(boot_clock::time_point now, millis hold,
                                            liveness const& alive) const;
 
     std::size_t size() const;
 
 private:
-    static constexpr int patience = 10; // times `hold`, with a live node
+    static constexpr int live_node_factor =
+        10; // multiple of `hold` while the node is alive
 
-    struct kept_delta
+    struct held_delta
     {
         wire::usage_delta      delta;
-        boot_clock::time_point taken_at{};
+        boot_clock::time_point received_at{};
     };
     using incarnation_name = std::pair<std::string, std::string>; // node, incarnation
 
     mutable std::mutex                                              mutex_;
-    std::map<incarnation_name, std::map<std::uint64_t, kept_delta>> kept_;
+    std::map<incarnation_name, std::map<std::uint64_t, held_delta>> held_;
 };
 
-/// Cuts numbered deltas of one incarnation into batches of consecutive numbers.
-class batch_cutter
+/// Splits the deltas of one incarnation into batches of consecutive sequence numbers.
+class batch_splitter
 {
 public:
-    batch_cutter(std::string node, std::string incarnation);
+    batch_splitter(std::string node, std::string incarnation);
 
     void add(std::uint64_t sequence, wire::usage_delta const& delta);
     std::vector<wire::usage_batch> batches() &&;
 
 private:
-    static constexpr int largest_batch = 200; // deltas; some 40 KB of log text
+    static constexpr int max_batch_deltas = 200; // about 40 KB of log text
 
     std::string                    node_;
     std::string                    incarnation_;
--- a/src/app/usage_recorder.hpp
+++ b/src/app/usage_recorder.hpp
@@ -1,4 +1,4 @@
-// Usage of this process on its way into the log.
+// Hands the usage of this process to peers for safety and appends it to the log.
 //
 // Index: 1 recorder_options, 2 usage_recorder
 #ifndef MARIGOLDCRANK_APP_USAGE_RECORDER_HPP
@@ -18,15 +18,17 @@
 namespace marigoldcrank
 {
 
+/// Identity of this process, and its timeout for handoffs of usage.
 struct recorder_options
 {
     std::string node;
     std::string incarnation;
-    millis      handoff{100}; // 100  wait for one peer's acknowledgement
+    millis      handoff{100}; // 100  wait for the acknowledgement of one peer
 };
 
-/// Every delta has a number of its own. It waits in memory until the ledger has counted
-/// it, and a peer keeps a copy meanwhile. All members are safe to call from any thread.
+/// Each delta has its own sequence number. It stays in memory until the ledger has
+/// counted it; meanwhile a peer holds a copy, for the case that this process fails.
+/// Thread-safe, except that `flush` must be called by one thread only.
 template <platform_log_port Log, peer_port Peers>
 class usage_recorder
 {
@@ -38,9 +40,9 @@
     {
     }
 
-    /// Takes a delta; called before its answer ends. Returns once a peer keeps a copy, or
-    /// after a bounded wait if none answers: a caller must not lose a whole answer
-    /// because a bill is less safe. True if a peer has it.
+    /// Adds a delta; called before the response to the caller ends. Returns true once a
+    /// peer holds a copy, and false after a bounded wait: the call must not fail because
+    /// its usage is stored less safely.
     bool add(wire::usage_delta delta)
     {
         std::uint64_t sequence = 0;
@@ -52,7 +54,7 @@
         return hand_off(sequence);
     }
 
-    /// A peer says that it keeps a delta.
+    /// Handles a peer's acknowledgement that it holds a delta.
     void acknowledged(std::string const& peer, wire::usage_handoff_ack const& ack)
     {
         if (ack.node() != options_.node || ack.incarnation() != options_.incarnation)
@@ -64,14 +66,14 @@
             auto const            found = waiting_.find(ack.sequence());
             if (found != waiting_.end())
             {
-                found->second.keeper = peer;
+                found->second.custodian = peer;
             }
         }
         acknowledged_.notify_all();
     }
 
-    /// Appends what the ledger has not counted. Called by one thread. True if nothing
-    /// waits any more.
+    /// Appends the deltas that the ledger has not counted. Called by one thread. True if
+    /// no delta is waiting afterwards.
     bool flush(millis timeout)
     {
         forget_counted();
@@ -86,17 +88,17 @@
         return waiting() == 0;
     }
 
-    /// Deltas whose keeper is gone are handed to another peer.
+    /// Hands deltas whose custodian is gone to another peer.
     void hand_off_again(boot_clock::time_point now)
     {
-        auto const keepers = roster_.keepers(now, 0);
-        for (auto const sequence : unkept(keepers))
+        auto const custodians = roster_.custodians(now, 0);
+        for (auto const sequence : without_custodian(custodians))
         {
-            send(keepers.front(), sequence);
+            send(custodians.front(), sequence);
         }
     }
 
-    /// Deltas not yet known to be in the log.
+    /// Number of deltas that are not yet known to be in the log.
     std::size_t waiting() const
     {
         std::lock_guard const lock(mutex_);
@@ -104,37 +106,39 @@
     }
 
 private:
-    static constexpr std::size_t tries = 2; // peers asked before an answer ends
+    static constexpr std::size_t max_peers_tried =
+        2; // peers tried before a response ends
 
     struct waiting_delta
     {
         wire::usage_delta delta;
-        std::string       keeper; // ""  the peer that has a copy
+        std::string       custodian; // ""  peer that holds a copy
     };
 
     bool hand_off(std::uint64_t sequence)
     {
-        auto const keepers = roster_.keepers(boot_clock::now(), sequence);
-        for (std::size_t index = 0; index < std::min(tries, keepers.size()); ++index)
+        auto const custodians = roster_.custodians(boot_clock::now(), sequence);
+        for (std::size_t index = 0; index < std::min(max_peers_tried, custodians.size());
+             ++index)
         {
-            send(keepers[index], sequence);
+            send(custodians[index], sequence);
             std::unique_lock lock(mutex_);
             if (acknowledged_.wait_for(lock, options_.handoff,
-                                       [&] { return is_kept(sequence); }))
+                                       [&] { return has_custodian(sequence); }))
             {
                 return true;
             }
             lock.unlock();
-            roster_.failed(keepers[index], boot_clock::now());
+            roster_.record_failure(custodians[index], boot_clock::now());
         }
         return false;
     }
 
-    /// Under the lock. A delta that the ledger has counted is safe as well.
-    bool is_kept(std::uint64_t sequence) const
+    /// Requires the lock. Also true for a delta that the ledger has counted.
+    bool has_custodian(std::uint64_t sequence) const
     {
         auto const found = waiting_.find(sequence);
-        return found == waiting_.end() || !found->second.keeper.empty();
+        return found == waiting_.end() || !found->second.custodian.empty();
     }
 
     void send(std::string const& peer, std::uint64_t sequence)
@@ -158,15 +162,16 @@
         peers_.send(peer, message);
     }
 
-    std::vector<std::uint64_t> unkept(std::vector<std::string> const& keepers) const
+    std::vector<std::uint64_t>
+    without_custodian(std::vector<std::string> const& custodians) const
     {
         std::vector<std::uint64_t> result;
         std::lock_guard const      lock(mutex_);
         for (auto const& [sequence, entry] : waiting_)
         {
-            bool const kept =
-                std::find(keepers.begin(), keepers.end(), entry.keeper) != keepers.end();
-            if (!kept && !keepers.empty())
+            bool const kept = std::find(custodians.begin(), custodians.end(),
+                                        entry.custodian) != custodians.end();
+            if (!kept && !custodians.empty())
             {
                 result.push_back(sequence);
             }
@@ -191,13 +196,13 @@
 
     std::vector<wire::usage_batch> batches() const
     {
-        batch_cutter          cutter(options_.node, options_.incarnation);
+        batch_splitter        splitter(options_.node, options_.incarnation);
         std::lock_guard const lock(mutex_);
         for (auto const& [sequence, entry] : waiting_)
         {
-            cutter.add(sequence, entry.delta);
+            splitter.add(sequence, entry.delta);
         }
-        return std::move(cutter).batches();
+        return std::move(splitter).batches();
     }
 
     log_writer<Log>&                       writer_;
@@ -211,7 +216,7 @@
     std::uint64_t                          last_sequence_ = 0;
 };
 
-/// Appends a batch and waits until it was read back. False: its fate is unknown.
+/// Appends a batch and waits until it is read back. False if the outcome is unknown.
 template <platform_log_port Log>
 bool append_batch(log_writer<Log>& writer, wire::usage_batch const& batch, millis timeout)
 {
--- a/src/app/usage_reporter.cpp
+++ b/src/app/usage_reporter.cpp
@@ -1,4 +1,4 @@
-// The body of a window's report.
+// Formats the report of a usage window as JSON.
 #include "app/usage_reporter.hpp"
 
 #include <nlohmann/json.hpp>
--- a/src/app/usage_reporter.hpp
+++ b/src/app/usage_reporter.hpp
@@ -1,4 +1,5 @@
-// The reporter's duty: seals usage windows in the log and reports sealed figures.
+// Reporter duty: seals usage windows in the log and reports their figures to the
+// platform.
 //
 // Index: 1 format_window, 2 reporter_options, 3 usage_reporter
 #ifndef MARIGOLDCRANK_APP_USAGE_REPORTER_HPP
@@ -18,21 +19,23 @@
 namespace marigoldcrank
 {
 
-/// The body of a window's report, the same from every reporter.
+/// Formats the report of a window as JSON; every reporter produces the same bytes.
 std::string format_window(sealed_window const& window);
 
+/// Identity, timing and destination of reports.
 struct reporter_options
 {
     std::string holder;        //       node and incarnation
-    millis      window{5000};  // 5000  length of a window
-    millis      margin{500};   // 500   wait for a predecessor's reports in flight
-    std::string platform_host; //       where reports go
+    millis      window{5000};  // 5000  min. time between seals
+    millis      margin{500};   // 500   wait of a new holder for reports in flight
+    std::string platform_host; //       destination of reports
     int         platform_port = 0;
 };
 
-/// Reports go out as orders do: not a byte leaves after the end of the lease, even if the
-/// process is stopped in between, and a successor waits for what may be in flight. So no
-/// two processes report at once. `step` is called by one thread.
+/// Reports are sent as orders are: no byte is sent after the end of the lease, even if
+/// the process is paused in between, and a new holder waits for reports that may be in
+/// flight. Therefore no two processes report at once. `step` must be called by one thread
+/// only.
 template <platform_log_port Log, order_port Reports>
 class usage_reporter
 {
@@ -44,7 +47,7 @@
     {
     }
 
-    /// Seals the open window if it is due, then reports sealed windows in order.
+    /// Seals the open window if that is due, then reports the sealed windows in order.
     void step(boot_clock::time_point now)
     {
         auto const held = lease_.held(now);
@@ -100,7 +103,7 @@
             });
         for (auto const& window : windows)
         {
-            // Reports stop with the lease, even in the middle of a backlog.
+            // Reporting ends with the lease, even if sealed windows are left.
             auto const held = lease_.held(boot_clock::now());
             if (!held || !report(window, *held))
             {
@@ -110,8 +113,9 @@
         }
     }
 
-    /// The mark says from where a successor goes on. One that is lost or loses its race
-    /// only costs repeats with the same figures.
+    /// Records the last reported window, after which a new holder continues. If the
+    /// record is lost or superseded, windows are only reported again with the same
+    /// figures.
     void mark_reported(held_lease const& held)
     {
         auto const marked = store_.with_ledger([](ledger const& value)
@@ -142,7 +146,9 @@
             },
             [&]
             {
-                log_warning(log_part::usage, "Report of a window failed; will retry.");
+                log_warning(
+                    log_part::usage,
+                    "The platform did not accept a usage report; it will be retried.");
                 return false;
             });
     }
--- a/src/app/vm_orderer.hpp
+++ b/src/app/vm_orderer.hpp
@@ -1,4 +1,4 @@
-// The orderer's duty: backend servers bought and dismissed, in all data centres.
+// Orderer duty: buys and dismisses the VMs of backend servers in all data centres.
 //
 // Index: vm_orderer
 #ifndef MARIGOLDCRANK_APP_VM_ORDERER_HPP
@@ -18,17 +18,17 @@
 namespace marigoldcrank
 {
 
-/// Where the platform takes orders, and for which data centres.
+/// Address at which the platform accepts orders, and the data centres to order for.
 struct orderer_options
 {
     std::string           host;
     int                   port = 0;
-    std::set<std::string> data_centres; // empty: those of the VM list
+    std::set<std::string> data_centres; // empty: all in the VM list
 
     bool operator==(orderer_options const&) const = default;
 };
 
-/// Used by one thread.
+/// Not thread-safe: used by one thread.
 template <platform_log_port Log, vm_list_port List, order_port Orders,
           backend_port Backend>
 class vm_orderer
@@ -41,16 +41,17 @@
     {
     }
 
-    /// Settles open orders by the platform's list, then orders at most one VM. The
-    /// platform checks no fencing numbers, so the margin always holds.
+    /// Advances the open orders by the platform's VM list, then orders at most one VM.
+    /// The platform checks no fencing numbers, so a new holder always waits for the
+    /// margin.
     void step(boot_clock::time_point now)
     {
         auto const held = journal_.authority(now, journal_.terms().margin);
-        if (!held || now - looked_at_ < journal_.terms().every)
+        if (!held || now - last_check_ < journal_.terms().every)
         {
             return;
         }
-        looked_at_ = now;
+        last_check_ = now;
         auto const listed = read_list();
         if (!listed)
         {
@@ -61,8 +62,8 @@
         {
             settle(*held, tracked, *listed);
         }
-        // An order that an earlier holder left open comes first: nothing new until it is
-        // settled.
+        // Nothing new is ordered until the orders that an earlier holder left open are
+        // closed.
         bool const inherited = std::any_of(open.begin(), open.end(),
                                            [](tracked_order const& tracked)
                                            { return tracked.progress.inherited; });
@@ -89,11 +90,13 @@
     void settle(held_lease const& held, tracked_order const& tracked,
                 server_list const& listed)
     {
-        auto const place = std::find_if(listed.begin(), listed.end(),
-                                        [&](backend_server const& server)
-                                        { return server.id == tracked.wanted.server; });
+        auto const position = std::find_if(listed.begin(), listed.end(),
+                                           [&](backend_server const& server) {
+                                               return server.id == tracked.wanted.server;
+                                           });
         bool const idle = tracked.wanted.kind == order_kind::dismiss &&
-                          place != listed.end() && drain_.idle(*place, tracked.seen_at);
+                          position != listed.end() &&
+                          drain_.idle(*position, tracked.seen_at);
         switch (settle_vm(tracked.wanted, tracked.entry.order_id, tracked.progress,
                           listed, idle))
         {
@@ -162,7 +165,7 @@
                                    rule.cheap_percent};
                 if (order_for(held, listed, open, plan))
                 {
-                    return; // one a step: the next look counts this one
+                    return; // one order per step; the next step counts it
                 }
             }
         }
@@ -172,11 +175,11 @@
                    std::vector<tracked_order> const& open, vm_plan const& plan)
     {
         std::vector<order>    own;
-        std::set<std::string> places;
+        std::set<std::string> used_targets;
         for (auto const& tracked : open)
         {
-            places.insert(tracked.entry.target);
-            // One that the list shows by now is counted there.
+            used_targets.insert(tracked.entry.target);
+            // An order whose VM is in the list already is counted there.
             bool const shown =
                 std::any_of(listed.begin(), listed.end(),
                             [&](backend_server const& server)
@@ -192,26 +195,27 @@
         {
             return false;
         }
-        journal_.intend(held, place_for(*wanted, places), *wanted);
+        journal_.intend(held, target_for(*wanted, used_targets), *wanted);
         return true;
     }
 
-    /// A purchase takes the first free place of its group and data centre, so that
-    /// several may be on their way at once; a dismissal's place is its VM.
-    static std::string place_for(order const& wanted, std::set<std::string> const& taken)
+    /// The target of an order. Each purchase takes the first free number of its group and
+    /// data centre, so that several can be open at once; a dismissal's target is its VM.
+    static std::string target_for(order const&                 wanted,
+                                  std::set<std::string> const& used_targets)
     {
-        auto const home = wanted.group + "/" + wanted.data_centre + "/";
+        auto const prefix = wanted.group + "/" + wanted.data_centre + "/";
         if (wanted.kind == order_kind::dismiss)
         {
-            return home + wanted.server;
+            return prefix + wanted.server;
         }
-        int place = 1;
-        while (taken.count(std::string{orderer_duty} + "/" + home + "new-" +
-                           std::to_string(place)) != 0)
+        int number = 1;
+        while (used_targets.count(std::string{orderer_duty} + "/" + prefix + "new-" +
+                                  std::to_string(number)) != 0)
         {
-            ++place;
+            ++number;
         }
-        return home + "new-" + std::to_string(place);
+        return prefix + "new-" + std::to_string(number);
     }
 
     order_journal<Log, Orders>& journal_;
@@ -219,7 +223,7 @@
     List&                       list_;
     server_drain<Backend>       drain_;
     orderer_options             options_;
-    boot_clock::time_point      looked_at_{};
+    boot_clock::time_point      last_check_{};
 };
 
 } // namespace marigoldcrank
--- a/src/app/worker_pool.hpp
+++ b/src/app/worker_pool.hpp
@@ -1,4 +1,4 @@
-// Threads that block on engines, reused from request to request.
+// Fixed pool of threads for work that blocks on engines.
 //
 // Index: worker_pool
 #ifndef MARIGOLDCRANK_APP_WORKER_POOL_HPP
@@ -14,8 +14,8 @@
 namespace marigoldcrank
 {
 
-/// As many threads as callers may be served at once, so that accepted work never waits
-/// for a thread.
+/// Has as many threads as there are callers served at once, so that accepted work never
+/// waits for a thread.
 class worker_pool
 {
 public:
@@ -39,6 +39,7 @@
         }
     }
 
+    /// Queues `work` for the next free thread; `work` must not be empty.
     void post(std::function<void()> work)
     {
         work_.push(std::move(work));
--- a/tests/concurrent/orders_concurrent_test.cpp
+++ b/tests/concurrent/orders_concurrent_test.cpp
@@ -1,4 +1,4 @@
-// Leases and order sockets used by several threads; the thread sanitizer watches in CI.
+// Tests leases and order sockets with several threads; CI runs it with ThreadSanitizer.
 #include "adapters/order_socket.hpp"
 #include "app/lease_keeper.hpp"
 #include "support/node_process.hpp"
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// A log that folds what is appended at once.
+/// A log that folds appended records at once.
 struct instant_log
 {
     leaf::result<std::uint64_t> append(std::string const& text)
@@ -33,8 +33,8 @@
     std::uint64_t end = 0;
 };
 
-/// Story: a node gives its duty up while one thread renews the lease and another asks for
-/// it before each order; the duty must stay given up.
+/// A node releases its lease while one thread renews it and another reads it before each
+/// order. The lease must stay released under its old epoch.
 TEST(orders_concurrent, a_released_lease_stays_released_beside_renewals)
 {
     ledger_store              store([] {});
@@ -64,14 +64,15 @@
     auto const epoch = lease.held(boot_clock::now())->epoch;
     lease.release();
     auto const held = lease.held(boot_clock::now());
-    EXPECT_TRUE(!held || held->epoch > epoch); // claimed anew, never the old epoch
+    EXPECT_TRUE(!held ||
+                held->epoch > epoch); // may be claimed again, but under a new epoch
     renewing.join();
     stopping = true;
     asking.join();
 }
 
-/// Story: two duties order at once; the timer of one, which fires at the end of its
-/// lease, must disconnect only its own socket.
+/// Several duties send orders at once. The timer that fires at the end of one lease must
+/// disconnect only the socket of that duty's order.
 TEST(orders_concurrent, a_lease_that_ends_disconnects_only_its_own_order)
 {
     tests::fleet system({.nodes = 0, .engines = 1, .services = 0, .apply_rules = false});
--- a/tests/concurrent/usage_handoff_test.cpp
+++ b/tests/concurrent/usage_handoff_test.cpp
@@ -1,4 +1,4 @@
-// Usage on its way from four threads over a peer into the log, with fakes at the ports.
+// Tests the handoff of usage from several threads to a peer and the log, with fake ports.
 #include "app/usage_recorder.hpp"
 #include "support/node_process.hpp"
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// A log that loses every third answer after the record took effect.
+/// A log that loses every third response after the record took effect.
 class fake_log
 {
 public:
@@ -44,7 +44,7 @@
     std::uint64_t last_ = 0;
 };
 
-/// Peers that keep what they are handed and acknowledge it on a thread of their own.
+/// Peers that store the usage they receive; `deliver` acknowledges it, on any thread.
 class fake_peers
 {
 public:
@@ -101,9 +101,9 @@
     log_writer<fake_log> writer(log, store);
     fake_peers           peers;
     peer_roster          roster("dc-1", millis{60000});
-    roster.heard(
-        "node-2",
-        {.incarnation = "run", .data_centre = "dc-1", .heard_at = boot_clock::now()});
+    roster.record_heartbeat("node-2", {.incarnation = "run",
+                                       .data_centre = "dc-1",
+                                       .last_heartbeat = boot_clock::now()});
     usage_recorder<fake_log, fake_peers> recorder(writer, store, peers, roster,
                                                   {"node-1", "run", millis{20000}});
     std::atomic<bool>                    done{false};
@@ -161,9 +161,10 @@
     EXPECT_EQ(peers.custody.size(), 0U);
 }
 
-/// Story: a bill is lost with two nodes, one after the other. Order: the peer that keeps
-/// a delta goes, then the node itself. Cause: a delta handed out only once.
-TEST(usage_handoff, a_delta_whose_keeper_is_gone_is_handed_to_another)
+/// Guards against usage that is lost when two nodes fail one after the other: first the
+/// custodian of a delta, then the node itself. The delta must be handed to another peer
+/// when its custodian goes.
+TEST(usage_handoff, a_delta_whose_custodian_is_gone_is_handed_to_another)
 {
     ledger_store         store([] {});
     fake_log             log(store);
@@ -171,29 +172,31 @@
     fake_peers           peers;
     peer_roster          roster("dc-1", millis{60000});
     auto const           now = boot_clock::now();
-    roster.heard("node-2", {.data_centre = "dc-1", .heard_at = now});
+    roster.record_heartbeat("node-2", {.data_centre = "dc-1", .last_heartbeat = now});
     usage_recorder<fake_log, fake_peers> recorder(writer, store, peers, roster,
                                                   {"node-1", "run", millis{1}});
-    EXPECT_FALSE(recorder.add({})); // nobody answers yet; the delta waits here
-    std::vector<std::string> keepers;
+    EXPECT_FALSE(
+        recorder.add({})); // no peer has acknowledged yet; the delta stays in memory
+    std::vector<std::string> receivers;
     auto const               deliver = [&]
     {
         peers.deliver(
             [&](auto const& name, auto const& ack)
             {
-                keepers.push_back(name);
+                receivers.push_back(name);
                 recorder.acknowledged(name, ack);
             });
     };
     deliver();
     recorder.hand_off_again(now);
     deliver();
-    EXPECT_EQ(keepers, std::vector<std::string>{"node-2"});
-    roster.heard("node-2", {.data_centre = "dc-1", .draining = true, .heard_at = now});
-    roster.heard("node-3", {.data_centre = "dc-2", .heard_at = now});
+    EXPECT_EQ(receivers, std::vector<std::string>{"node-2"});
+    roster.record_heartbeat(
+        "node-2", {.data_centre = "dc-1", .draining = true, .last_heartbeat = now});
+    roster.record_heartbeat("node-3", {.data_centre = "dc-2", .last_heartbeat = now});
     recorder.hand_off_again(now);
     deliver();
-    EXPECT_EQ(keepers, (std::vector<std::string>{"node-2", "node-3"}));
+    EXPECT_EQ(receivers, (std::vector<std::string>{"node-2", "node-3"}));
 }
 
 } // namespace
--- a/tests/unit/lease_keeper_test.cpp
+++ b/tests/unit/lease_keeper_test.cpp
@@ -1,4 +1,4 @@
-// The lease keeper against a log whose answers and effects a test arranges.
+// Tests the lease keeper with a log whose responses and effects each test controls.
 #include "app/lease_keeper.hpp"
 
 #include <gtest/gtest.h>
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// A log that folds what is appended at once, unless the test takes the record away;
-/// `after_append` runs before the append's answer arrives.
+/// A log that folds appended records at once, unless a test refuses or delays them.
+/// `after_append` runs before the response to the append arrives.
 struct fake_log
 {
     explicit fake_log(ledger_store& value) : store(value) {}
@@ -49,9 +49,9 @@
         return end;
     }
 
-    ledger_store&            store;
-    bool                     losing = false; // effect and answer come later, if at all
-    bool                     refusing = false;
+    ledger_store& store;
+    bool          losing = false; // the response is lost; the record is delayed
+    bool          refusing = false;
     std::vector<std::string> late;
     std::function<void()>    after_append;
     std::uint64_t            end = 0;
@@ -71,7 +71,7 @@
                                  { return value.leases().state("duty"); });
     }
 
-    /// A claim of another process that is effective now.
+    /// Adds an effective claim of another process.
     void claim_by_other()
     {
         wire::log_record record;
@@ -99,8 +99,9 @@
     EXPECT_FALSE(lease.held(start + terms.lease));
 }
 
-/// Story: a holder renews; before it looks, a successor's claim is folded. The holder
-/// takes the successor's epoch for its own and sends orders that no engine refuses.
+/// Guards against a holder that adopts a successor's epoch. The successor's claim is
+/// folded after the holder's renewal, but before the holder reads the state. The holder
+/// would then send orders under the successor's epoch, which no engine refuses.
 TEST_F(lease_keeper_test, never_takes_a_successors_epoch_for_its_own)
 {
     lease.step(start);
@@ -114,9 +115,9 @@
     EXPECT_EQ(state().holder, "other");
 }
 
-/// Story: a node drains and gives its duty up while its duty thread waits for a renewal.
-/// The renewal is read back after the release was sent, and the node believes for a whole
-/// lease that it holds what its successor has already taken.
+/// Guards against a renewal that revives a released lease. A node releases its duty
+/// during a drain while its duty thread waits for a renewal, which is read back after the
+/// release. The node would then hold the lease for its whole length beside its successor.
 TEST_F(lease_keeper_test, a_release_in_the_middle_of_a_renewal_ends_the_lease)
 {
     lease.step(start);
@@ -129,8 +130,9 @@
     EXPECT_FALSE(lease.held(start + millis{100}));
 }
 
-/// Story: the append of a release loses its answer. The node renews and goes on; then the
-/// release takes effect and a successor claims at once: two holders.
+/// Guards against two holders after a late release. The response to the append of a
+/// release is lost and the node renews the lease. If the release then takes effect, a
+/// successor claims the duty at once.
 TEST_F(lease_keeper_test, never_renews_an_epoch_whose_release_may_still_take_effect)
 {
     lease.step(start);
@@ -150,8 +152,8 @@
     }
 }
 
-/// Story: a claim is given up on and takes effect a second later. Its holder must not
-/// count the lease from then, but from a renewal that it sent itself.
+/// A claim can take effect after its process stopped waiting for it. The lease must then
+/// not run from that time, but from a renewal that the process sends itself.
 TEST_F(lease_keeper_test, a_late_claim_is_held_only_after_a_renewal)
 {
     log.losing = true;
@@ -166,8 +168,8 @@
               start + millis{200} + terms.lease);
 }
 
-/// Story: the platform refuses appends for minutes; every node without a duty tries again
-/// without a pause and keeps the platform down.
+/// Guards against nodes that claim a duty without a pause while the platform fails
+/// appends, and so keep the platform overloaded.
 TEST_F(lease_keeper_test, pauses_between_claims_that_fail)
 {
     log.losing = true;
--- a/tests/unit/snapshot_keeper_test.cpp
+++ b/tests/unit/snapshot_keeper_test.cpp
@@ -1,4 +1,4 @@
-// When a snapshot is due, and whom a node asks to keep its usage.
+// Tests when a snapshot is due, and which peers a node chooses as custodians of usage.
 #include "app/peer_roster.hpp"
 #include "app/snapshot_keeper.hpp"
 
@@ -9,9 +9,9 @@
 namespace
 {
 
-constexpr keeper_options options{millis{1000}, 100};
+constexpr snapshot_options options{millis{1000}, 100};
 
-/// A ledger that has folded `records` records, the last of which is a snapshot record if
+/// A ledger that has folded `records` records. The last of them is a snapshot record if
 /// `through` is not 0.
 ledger folded(std::uint64_t records, std::uint64_t through)
 {
@@ -42,8 +42,8 @@
     EXPECT_FALSE(snapshot_due(folded(150, 100), 1, millis{500}, options));
 }
 
-/// The half of the retained records that follows the last snapshot is the time in which
-/// the next one must succeed.
+/// The next snapshot must be in the log before retention passes the last one, so it is
+/// due when half of the retained records are left.
 TEST(snapshot_keeper, due_before_retention_reaches_the_last_one)
 {
     EXPECT_FALSE(snapshot_due(folded(60, 40), 20, millis{0}, options));
@@ -55,23 +55,26 @@
 {
     auto const  now = boot_clock::now();
     peer_roster roster("dc-1", millis{1000});
-    roster.heard("far", {.data_centre = "dc-2", .heard_at = now});
-    roster.heard("near", {.data_centre = "dc-1", .heard_at = now});
-    roster.heard("leaving", {.data_centre = "dc-1", .draining = true, .heard_at = now});
-    roster.heard("gone", {.data_centre = "dc-1", .heard_at = now - millis{1001}});
+    roster.record_heartbeat("far", {.data_centre = "dc-2", .last_heartbeat = now});
+    roster.record_heartbeat("near", {.data_centre = "dc-1", .last_heartbeat = now});
+    roster.record_heartbeat(
+        "leaving", {.data_centre = "dc-1", .draining = true, .last_heartbeat = now});
+    roster.record_heartbeat(
+        "gone", {.data_centre = "dc-1", .last_heartbeat = now - millis{1001}});
     for (std::uint64_t turn = 0; turn < 4; ++turn)
     {
-        EXPECT_EQ(roster.keepers(now, turn), (std::vector<std::string>{"near", "far"}));
+        EXPECT_EQ(roster.custodians(now, turn),
+                  (std::vector<std::string>{"near", "far"}));
     }
-    roster.failed("near", now);
-    EXPECT_EQ(roster.keepers(now, 0), (std::vector<std::string>{"far", "near"}));
+    roster.record_failure("near", now);
+    EXPECT_EQ(roster.custodians(now, 0), (std::vector<std::string>{"far", "near"}));
 }
 
 TEST(peer_roster, a_new_run_is_not_the_old_one)
 {
     auto const  now = boot_clock::now();
     peer_roster roster("dc-1", millis{1000});
-    roster.heard("node", {.incarnation = "second", .heard_at = now});
+    roster.record_heartbeat("node", {.incarnation = "second", .last_heartbeat = now});
     EXPECT_TRUE(roster.alive("node", "second", now));
     EXPECT_FALSE(roster.alive("node", "first", now));
     EXPECT_FALSE(roster.alive("node", "second", now + millis{1000}));
--- a/tests/unit/usage_reporter_test.cpp
+++ b/tests/unit/usage_reporter_test.cpp
@@ -1,4 +1,4 @@
-// A reporter whose reports' answers are lost, with fakes at the ports.
+// Tests the usage reporter when responses to its reports are lost, with fake ports.
 #include "app/usage_reporter.hpp"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
     std::uint64_t last_ = 0;
 };
 
-/// Receives every report and loses the first answers.
+/// Receives every report and loses the first responses.
 class fake_reports
 {
 public:
@@ -53,7 +53,7 @@
 
 static_assert(order_port<fake_reports>);
 
-/// One process with the duty, and usage in its ledger.
+/// A process that holds the reporter duty and has usage in its ledger.
 struct reporter_under_test
 {
     reporter_under_test()
@@ -70,7 +70,8 @@
     void step()
     {
         reporter.step(boot_clock::now());
-        std::this_thread::sleep_for(millis{3}); // another wall-clock time
+        std::this_thread::sleep_for(
+            millis{3}); // makes the wall-clock time differ between steps
     }
 
     ledger_store           store{[] {
@@ -87,9 +88,9 @@
         {"node/run", millis{1}, millis{0}, "127.0.0.1", 1}};
 };
 
-/// Story: the platform has two figures for one window. Order: a report arrives, its
-/// answer is lost, it is sent again; or a successor sends it. Cause: a report that says
-/// anything but what the ledger holds.
+/// Guards against two different reports of one window. If the response to a report is
+/// lost, the reporter or its successor sends the report again. It must contain only what
+/// the ledger holds.
 TEST(usage_reporter, a_window_is_reported_again_with_the_same_bytes)
 {
     reporter_under_test test;
@@ -99,7 +100,7 @@
         test.step();
     }
     auto const& bodies = test.reports.bodies["/usage/1"];
-    ASSERT_EQ(bodies.size(), 3U); // two answers lost, one arrived, and no more
+    ASSERT_EQ(bodies.size(), 3U); // two responses lost, one received, no further report
     EXPECT_EQ(bodies[0], bodies[1]);
     EXPECT_EQ(bodies[0], bodies[2]);
     auto const successor = test.store.with_ledger(
