--- a/src/app/duty_runner.hpp
+++ b/src/app/duty_runner.hpp
@@ -26,7 +26,7 @@
     std::string     data_centre; // this entry VM may control its engines
     std::string     holder;      // node and incarnation, written into the log
     lease_terms     lease;
-    order_terms     orders;
+    order_durations orders;
     orderer_options platform;
 };
 
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Servers that an open order of any holder takes out of service. Every entry VM
-    /// stops routing calls to them.
+    /// Servers to leave out of routing, because an open order of any holder will take
+    /// them out of service. Every entry VM leaves out the same servers.
     std::set<std::string> draining() const
     {
         std::map<std::string, std::uint64_t> ordered;
--- a/src/app/engine_controller.hpp
+++ b/src/app/engine_controller.hpp
@@ -93,20 +93,18 @@
 
     void settle(held_lease const& held, tracked_order const& tracked)
     {
-        auto const      position = std::find_if(listed_.begin(), listed_.end(),
-                                                [&](backend_server const& server) {
-                                               return server.id == tracked.wanted.server;
-                                           });
-        observed_engine observed{.listed =
-                                     position != listed_.end() && !position->leaving};
+        auto const      found = std::find_if(listed_.begin(), listed_.end(),
+                                             [&](backend_server const& server)
+                                             { return server.id == tracked.wanted.server; });
+        observed_engine observed{.listed = found != listed_.end() && !found->leaving};
         if (observed.listed)
         {
-            observed.state = state_of(*position);
-            observed.idle = drain_.idle(*position, tracked.seen_at);
+            observed.state = state_of(*found);
+            observed.idle = drain_.idle(*found, tracked.seen_at);
         }
         auto step = settle_role(tracked.wanted, tracked.progress, observed);
-        // An order can be abandoned before the engine is idle: the last server of a group
-        // takes no new calls until the order for it is closed.
+        // An order is abandoned without waiting for the engine to be idle: the last
+        // server of a group continues to serve until the order for it is closed.
         bool const unsent = tracked.progress.sending == order_sending::not_sent;
         if (step == order_step::send || (step == order_step::wait && unsent))
         {
@@ -118,7 +116,7 @@
         case order_step::wait:
             break;
         case order_step::send:
-            journal_.send(held, tracked, message_for(held, tracked, *position));
+            journal_.send(held, tracked, message_for(held, tracked, *found));
             break;
         case order_step::close_done:
             journal_.close(held, tracked, order_end::done);
--- a/src/app/ledger_store.cpp
+++ b/src/app/ledger_store.cpp
@@ -145,8 +145,8 @@
     return changed;
 }
 
-/// Once the ledger has passed the offset of a peer's configuration, the ledger replaces
-/// it.
+/// Drops a peer's configuration once the ledger has passed its offset. From then on the
+/// ledger's own configuration is in force.
 void ledger_store::check_peer_rules()
 {
     if (peer_rules_.revision == 0 || peer_rules_.revision >= ledger_.next_offset())
@@ -160,8 +160,8 @@
     {
         log_warning(log_part::ledger,
                     "Dropped a peer's configuration that the log did not accept.");
-        // The only case in which the configuration is withdrawn: its rules were never
-        // accepted.
+        // The only case in which a configuration in force is revoked: its rules were
+        // never accepted.
         publish(std::make_shared<access_list const>());
     }
     peer_rules_ = {};
--- a/src/app/ledger_store.hpp
+++ b/src/app/ledger_store.hpp
@@ -39,11 +39,10 @@
 /// Immutable view of the configuration in force, the withdrawn keys and the drains.
 struct access_list
 {
-    std::shared_ptr<configuration const>
-                                config;    // null: none known yet, calls are refused
-    std::map<std::string, bool> withdrawn; // key id, compromised
-    std::uint64_t               withdrawn_digest = 0; // equal for equal sets; 0 if empty
-    drain_list                  drains;               // newest of log and peers
+    std::shared_ptr<configuration const> config;    // null: refuse, none is known
+    std::map<std::string, bool>          withdrawn; // key id, compromised
+    std::uint64_t withdrawn_digest = 0;             // equal for equal sets; 0 if empty
+    drain_list    drains;                           // newest of log and peers
 
     std::uint64_t revision() const noexcept
     {
@@ -119,21 +118,20 @@
 
     static constexpr std::size_t max_remembered_records = 8192;
 
-    listener                    on_access_change_;
-    boot_clock::time_point      started_;
-    mutable std::mutex          mutex_;
-    std::condition_variable     applied_;
-    ledger                      ledger_;
-    accepted_rules              peer_rules_;  // ahead of the ledger
-    drain_fold                  peer_drains_; // newest received from a peer
-    std::map<std::string, bool> withdrawn_;   // from any source
-    std::uint64_t               unparsable_revision_ =
-        0; // newest accepted revision that does not parse
-    std::map<std::string, record_outcome>         outcomes_;
-    std::deque<std::string>                       outcome_order_;
+    listener                              on_access_change_;
+    boot_clock::time_point                started_;
+    mutable std::mutex                    mutex_;
+    std::condition_variable               applied_;
+    ledger                                ledger_;
+    accepted_rules                        peer_rules_;  // ahead of the ledger
+    drain_fold                            peer_drains_; // newest received from a peer
+    std::map<std::string, bool>           withdrawn_;   // from any source
+    std::uint64_t                         unparsable_revision_ = 0; // newest one accepted
+    std::map<std::string, record_outcome> outcomes_;
+    std::deque<std::string>               outcome_order_;
     std::map<std::string, boot_clock::time_point> duty_read_at_;
-    mutable std::mutex access_mutex_;           // taken for every token; held briefly
-    std::shared_ptr<access_list const> access_; // written while both locks are held
+    mutable std::mutex                 access_mutex_; // per token; held briefly
+    std::shared_ptr<access_list const> access_;       // written while both locks are held
 };
 
 } // namespace marigoldcrank
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -11,10 +11,9 @@
 
 namespace
 {
-constexpr std::size_t max_report_bytes =
-    16'777'216; // 16 MiB, about 100,000 usage figures
-constexpr millis flush_timeout{2000};
-constexpr millis drain_poll{20};
+constexpr std::size_t max_report_bytes = 16'777'216; // about 100,000 usage figures
+constexpr millis      flush_timeout{2000};
+constexpr millis      drain_poll{20};
 
 std::vector<peer_address> peers_of(settings const& options)
 {
@@ -138,7 +137,7 @@
     if (!bound)
     {
         log_error(log_part::node,
-                  "Cannot bind the port for callers; the node does not serve.");
+                  "Cannot bind the port for callers; the node does not start.");
         return;
     }
     server_thread = std::thread([this] { server.listen_after_bind(); });
--- a/src/app/order_journal.hpp
+++ b/src/app/order_journal.hpp
@@ -1,7 +1,7 @@
 // Orders of one duty: records intents and outcomes in the log, and sends orders only
 // while the duty's lease is held.
 //
-// Index: 1 order_terms, 2 tracked_order, 3 order_journal
+// Index: 1 order_durations, 2 tracked_order, 3 order_journal
 #ifndef MARIGOLDCRANK_APP_ORDER_JOURNAL_HPP
 #define MARIGOLDCRANK_APP_ORDER_JOURNAL_HPP
 
@@ -21,7 +21,7 @@
 {
 
 /// Timing of orders.
-struct order_terms
+struct order_durations
 {
     millis margin{500};   // 500    wait of a new holder for packets in flight
     millis notice{500};   // 500    time in which all entry VMs read of a drain
@@ -29,7 +29,7 @@
     millis every{200};    // 200    between checks of engines and VM list
     millis append{2000};  // 2000   wait until an intent or outcome is read back
 
-    bool operator==(order_terms const&) const = default;
+    bool operator==(order_durations const&) const = default;
 };
 
 /// An open order of the log, and the progress that this process knows of.
@@ -48,7 +48,7 @@
 public:
     order_journal(log_writer<Log>& writer, ledger_store& store, lease_keeper<Log>& lease,
                   Orders& orders, span_store& spans, std::string holder,
-                  order_terms terms)
+                  order_durations terms)
         : writer_(writer), store_(store), lease_(lease), orders_(orders), spans_(spans),
           holder_(std::move(holder)), terms_(terms)
     {
@@ -164,7 +164,7 @@
         span->note("order.sending", refused ? "without effect" : "may have effect");
     }
 
-    order_terms const& terms() const noexcept
+    order_durations const& terms() const noexcept
     {
         return terms_;
     }
@@ -221,7 +221,7 @@
     Orders&                     orders_;
     span_store&                 spans_;
     std::string                 holder_;
-    order_terms                 terms_;
+    order_durations             terms_;
     std::map<std::string, note> notes_; // by order id
 };
 
--- a/src/app/snapshot_keeper.hpp
+++ b/src/app/snapshot_keeper.hpp
@@ -22,9 +22,8 @@
 };
 
 /// True if a snapshot is due. Once records expire, a new snapshot must be in the log
-/// before retention passes the last one. It is due when half of the retained records
-/// precede the last snapshot's end, which leaves the other half as time for slow and lost
-/// appends.
+/// before retention passes the last one. It is due once the last snapshot ends in the
+/// older half of the retained records, which leaves time for slow and lost appends.
 inline bool snapshot_due(ledger const& value, std::uint64_t first_retained,
                          millis since_last, snapshot_options const& options)
 {
--- a/src/app/usage_custody.hpp
+++ b/src/app/usage_custody.hpp
@@ -43,8 +43,7 @@
     std::size_t size() const;
 
 private:
-    static constexpr int live_node_factor =
-        10; // multiple of `hold` while the node is alive
+    static constexpr int live_node_factor = 10; // times `hold`, if the node is alive
 
     struct held_delta
     {
--- a/src/app/usage_recorder.hpp
+++ b/src/app/usage_recorder.hpp
@@ -106,8 +106,7 @@
     }
 
 private:
-    static constexpr std::size_t max_peers_tried =
-        2; // peers tried before a response ends
+    static constexpr std::size_t max_peers_tried = 2; // before a response ends
 
     struct waiting_delta
     {
--- a/src/app/usage_reporter.hpp
+++ b/src/app/usage_reporter.hpp
@@ -26,7 +26,7 @@
 struct reporter_options
 {
     std::string holder;        //       node and incarnation
-    millis      window{5000};  // 5000  min. time between seals
+    millis      window{5000};  // 5000  length of a window
     millis      margin{500};   // 500   wait of a new holder for reports in flight
     std::string platform_host; //       destination of reports
     int         platform_port = 0;
--- a/src/app/vm_orderer.hpp
+++ b/src/app/vm_orderer.hpp
@@ -90,13 +90,11 @@
     void settle(held_lease const& held, tracked_order const& tracked,
                 server_list const& listed)
     {
-        auto const position = std::find_if(listed.begin(), listed.end(),
-                                           [&](backend_server const& server) {
-                                               return server.id == tracked.wanted.server;
-                                           });
+        auto const found = std::find_if(listed.begin(), listed.end(),
+                                        [&](backend_server const& server)
+                                        { return server.id == tracked.wanted.server; });
         bool const idle = tracked.wanted.kind == order_kind::dismiss &&
-                          position != listed.end() &&
-                          drain_.idle(*position, tracked.seen_at);
+                          found != listed.end() && drain_.idle(*found, tracked.seen_at);
         switch (settle_vm(tracked.wanted, tracked.entry.order_id, tracked.progress,
                           listed, idle))
         {
--- a/tests/concurrent/orders_concurrent_test.cpp
+++ b/tests/concurrent/orders_concurrent_test.cpp
@@ -64,8 +64,7 @@
     auto const epoch = lease.held(boot_clock::now())->epoch;
     lease.release();
     auto const held = lease.held(boot_clock::now());
-    EXPECT_TRUE(!held ||
-                held->epoch > epoch); // may be claimed again, but under a new epoch
+    EXPECT_TRUE(!held || held->epoch > epoch); // claimed again, under a new epoch
     renewing.join();
     stopping = true;
     asking.join();
--- a/tests/concurrent/usage_handoff_test.cpp
+++ b/tests/concurrent/usage_handoff_test.cpp
@@ -44,7 +44,7 @@
     std::uint64_t last_ = 0;
 };
 
-/// Peers that store the usage they receive; `deliver` acknowledges it, on any thread.
+/// Peers that store the usage they receive; `deliver` acknowledges it.
 class fake_peers
 {
 public:
@@ -175,8 +175,7 @@
     roster.record_heartbeat("node-2", {.data_centre = "dc-1", .last_heartbeat = now});
     usage_recorder<fake_log, fake_peers> recorder(writer, store, peers, roster,
                                                   {"node-1", "run", millis{1}});
-    EXPECT_FALSE(
-        recorder.add({})); // no peer has acknowledged yet; the delta stays in memory
+    EXPECT_FALSE(recorder.add({})); // not acknowledged yet; stays in memory
     std::vector<std::string> receivers;
     auto const               deliver = [&]
     {
--- a/tests/unit/snapshot_keeper_test.cpp
+++ b/tests/unit/snapshot_keeper_test.cpp
@@ -42,8 +42,8 @@
     EXPECT_FALSE(snapshot_due(folded(150, 100), 1, millis{500}, options));
 }
 
-/// The next snapshot must be in the log before retention passes the last one, so it is
-/// due when half of the retained records are left.
+/// A snapshot is due once the last one ends in the older half of the retained records.
+/// The next one must be in the log before retention passes the last one.
 TEST(snapshot_keeper, due_before_retention_reaches_the_last_one)
 {
     EXPECT_FALSE(snapshot_due(folded(60, 40), 20, millis{0}, options));
--- a/tests/unit/usage_reporter_test.cpp
+++ b/tests/unit/usage_reporter_test.cpp
@@ -70,8 +70,7 @@
     void step()
     {
         reporter.step(boot_clock::now());
-        std::this_thread::sleep_for(
-            millis{3}); // makes the wall-clock time differ between steps
+        std::this_thread::sleep_for(millis{3}); // changes the wall-clock time
     }
 
     ledger_store           store{[] {
