--- a/src/app/peer_roster.cpp
+++ b/src/app/peer_roster.cpp
@@ -11,29 +11,29 @@
 {
 }
 
-bool peer_roster::record_heartbeat(std::string const& name, peer_status const& note)
+bool peer_roster::record_heartbeat(std::string const& name, peer_status const& status)
 {
     std::lock_guard const lock(mutex_);
-    auto&                 held = notes_[name];
-    auto const            last_failure = held.last_failure;
-    bool const            fresh = held.incarnation != note.incarnation;
-    held = note;
-    held.last_failure = last_failure;
-    return fresh;
+    auto&                 known = peers_[name];
+    auto const            last_failure = known.last_failure;
+    bool const            first = known.incarnation != status.incarnation;
+    known = status;
+    known.last_failure = last_failure;
+    return first;
 }
 
 void peer_roster::record_failure(std::string const& name, boot_clock::time_point now)
 {
     std::lock_guard const lock(mutex_);
-    notes_[name].last_failure = now;
+    peers_[name].last_failure = now;
 }
 
 bool peer_roster::alive(std::string const& name, std::string const& incarnation,
                         boot_clock::time_point now) const
 {
     std::lock_guard const lock(mutex_);
-    auto const            found = notes_.find(name);
-    return found != notes_.end() && found->second.incarnation == incarnation &&
+    auto const            found = peers_.find(name);
+    return found != peers_.end() && found->second.incarnation == incarnation &&
            now - found->second.last_heartbeat < dead_after_;
 }
 
@@ -55,15 +55,15 @@
     std::vector<candidate> found;
     {
         std::lock_guard const lock(mutex_);
-        for (auto const& [name, note] : notes_)
+        for (auto const& [name, status] : peers_)
         {
-            if (now - note.last_heartbeat >= dead_after_ || note.draining)
+            if (now - status.last_heartbeat >= dead_after_ || status.draining)
             {
                 continue;
             }
-            bool const failed = note.last_failure != boot_clock::time_point{} &&
-                                now - note.last_failure < dead_after_;
-            bool const elsewhere = note.data_centre != data_centre_;
+            bool const failed = status.last_failure != boot_clock::time_point{} &&
+                                now - status.last_failure < dead_after_;
+            bool const elsewhere = status.data_centre != data_centre_;
             found.push_back({(failed ? 2 : 0) + (elsewhere ? 1 : 0), name});
         }
     }
--- a/src/app/peer_roster.hpp
+++ b/src/app/peer_roster.hpp
@@ -34,7 +34,7 @@
 
     /// Records a heartbeat. True if it is the first of this incarnation: a restarted peer
     /// has the same name, but none of the state of its earlier incarnation.
-    bool record_heartbeat(std::string const& name, peer_status const& note);
+    bool record_heartbeat(std::string const& name, peer_status const& status);
 
     /// Records that a peer did not acknowledge in time. It ranks last for `dead_after`.
     void record_failure(std::string const& name, boot_clock::time_point now);
@@ -56,7 +56,7 @@
     std::string                        data_centre_;
     millis                             dead_after_;
     mutable std::mutex                 mutex_;
-    std::map<std::string, peer_status> notes_;
+    std::map<std::string, peer_status> peers_;
 };
 
 } // namespace marigoldcrank
--- a/tests/concurrent/orders_concurrent_test.cpp
+++ b/tests/concurrent/orders_concurrent_test.cpp
@@ -35,7 +35,7 @@
 
 /// A node releases its lease while one thread renews it and another reads it before each
 /// order. The lease must stay released under its old epoch.
-TEST(orders_concurrent, a_released_lease_stays_released_beside_renewals)
+TEST(orders_concurrent, a_released_lease_stays_released_during_renewals)
 {
     ledger_store              store([] {});
     instant_log               log{store, {}, 0};
--- a/tests/concurrent/usage_handoff_test.cpp
+++ b/tests/concurrent/usage_handoff_test.cpp
@@ -92,7 +92,7 @@
 static_assert(platform_log_port<fake_log>);
 static_assert(peer_port<fake_peers>);
 
-TEST(usage_handoff, four_threads_lose_and_double_nothing)
+TEST(usage_handoff, concurrent_deltas_are_counted_exactly_once)
 {
     constexpr int        threads = 4;
     constexpr int        deltas = 100;
--- a/tests/unit/lease_keeper_test.cpp
+++ b/tests/unit/lease_keeper_test.cpp
@@ -180,7 +180,7 @@
     EXPECT_LE(log.late.size(), 2U);
 }
 
-TEST_F(lease_keeper_test, a_successor_waits_the_lease_out_from_when_it_read_it)
+TEST_F(lease_keeper_test, a_successor_waits_a_whole_lease_after_it_read_the_claim)
 {
     claim_by_other();
     lease.step(start + terms.lease / 2);
--- a/tests/unit/snapshot_keeper_test.cpp
+++ b/tests/unit/snapshot_keeper_test.cpp
@@ -29,12 +29,12 @@
     return value;
 }
 
-TEST(snapshot_keeper, an_empty_log_needs_none)
+TEST(snapshot_keeper, not_due_for_an_empty_log)
 {
     EXPECT_FALSE(snapshot_due(ledger{}, 1, millis{5000}, options));
 }
 
-TEST(snapshot_keeper, due_after_the_time_and_after_the_records)
+TEST(snapshot_keeper, due_after_max_interval_or_max_records)
 {
     EXPECT_FALSE(snapshot_due(folded(50, 0), 1, millis{500}, options));
     EXPECT_TRUE(snapshot_due(folded(50, 0), 1, millis{1000}, options));
@@ -44,14 +44,14 @@
 
 /// A snapshot is due once the last one ends in the older half of the retained records.
 /// The next one must be in the log before retention passes the last one.
-TEST(snapshot_keeper, due_before_retention_reaches_the_last_one)
+TEST(snapshot_keeper, due_before_retention_passes_the_last_one)
 {
     EXPECT_FALSE(snapshot_due(folded(60, 40), 20, millis{0}, options));
     EXPECT_TRUE(snapshot_due(folded(60, 40), 21, millis{0}, options));
     EXPECT_TRUE(snapshot_due(folded(60, 0), 2, millis{0}, options));
 }
 
-TEST(peer_roster, prefers_who_answers_then_the_own_data_centre)
+TEST(peer_roster, custodians_that_acknowledge_come_first_then_the_own_data_centre)
 {
     auto const  now = boot_clock::now();
     peer_roster roster("dc-1", millis{1000});
@@ -70,7 +70,7 @@
     EXPECT_EQ(roster.custodians(now, 0), (std::vector<std::string>{"far", "near"}));
 }
 
-TEST(peer_roster, a_new_run_is_not_the_old_one)
+TEST(peer_roster, an_earlier_incarnation_is_not_alive)
 {
     auto const  now = boot_clock::now();
     peer_roster roster("dc-1", millis{1000});
