--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -203,7 +203,7 @@
     // they were refused at once, callers would see errors during a planned stop.
     std::this_thread::sleep_for(millis{parts_->options.drain_notice_ms});
     parts_->callers.refuse_new();
-    bool const served = wait_for([this] { return parts_->callers.inflight() == 0; });
+    bool const calls_done = wait_for([this] { return parts_->callers.inflight() == 0; });
     // The usage recorder, the idempotency log and the snapshot keeper are each used by
     // one thread: two concurrent flushes could drop a batch that only one of them
     // appended.
@@ -214,17 +214,19 @@
         thread->join();
     }
     // Usage in custody for peers would be lost with this node, so it is appended as well.
-    bool const billed = wait_for(
+    bool const usage_logged = wait_for(
         [this] {
             return parts_->usage.flush(flush_timeout) &&
                    parts_->append_custody(millis::zero());
         });
-    bool const settled = wait_for([this] { return parts_->book.flush(flush_timeout); });
+    bool const results_logged =
+        wait_for([this] { return parts_->book.flush(flush_timeout); });
     parts_->reporter_lease.release();
     parts_->keeper_lease.release();
-    bool const whole = served && billed && settled;
-    log_info(log_part::node, whole ? "Drained." : "Stopped before the drain completed.");
-    return whole;
+    bool const complete = calls_done && usage_logged && results_logged;
+    log_info(log_part::node,
+             complete ? "Drained." : "Stopped before the drain completed.");
+    return complete;
 }
 
 } // namespace marigoldcrank
--- a/src/app/node_peers.cpp
+++ b/src/app/node_peers.cpp
@@ -48,13 +48,13 @@
 {
     auto const access = store.access();
     auto       result = message();
-    auto*      beat = result.mutable_beat();
-    beat->set_config_revision(access->revision());
-    beat->set_withdrawn_digest(access->withdrawn_digest);
-    beat->set_inflight(static_cast<std::uint64_t>(callers.inflight()));
-    beat->set_draining(callers.draining());
-    beat->set_data_centre(options.data_centre);
-    beat->set_drain_revision(access->drains.revision);
+    auto*      heartbeat = result.mutable_beat();
+    heartbeat->set_config_revision(access->revision());
+    heartbeat->set_withdrawn_digest(access->withdrawn_digest);
+    heartbeat->set_inflight(static_cast<std::uint64_t>(callers.inflight()));
+    heartbeat->set_draining(callers.draining());
+    heartbeat->set_data_centre(options.data_centre);
+    heartbeat->set_drain_revision(access->drains.revision);
     return result;
 }
 
@@ -140,7 +140,7 @@
 /// started after it, has the newest state within one or two heartbeats.
 void node::parts::receive_heartbeat(wire::peer_message const& message)
 {
-    auto const& beat = message.beat();
+    auto const& heartbeat = message.beat();
     auto const  access = store.access();
     for (auto& update : poison.news_for(message.from(), message.incarnation()))
     {
@@ -148,19 +148,21 @@
         update.set_incarnation(incarnation);
         peers.send(message.from(), update);
     }
-    roster.record_heartbeat(message.from(), {message.incarnation(), beat.data_centre(),
-                                             beat.draining(), boot_clock::now()});
-    if (beat.config_revision() > access->revision())
+    roster.record_heartbeat(message.from(),
+                            {message.incarnation(), heartbeat.data_centre(),
+                             heartbeat.draining(), boot_clock::now()});
+    if (heartbeat.config_revision() > access->revision())
     {
         auto wanted = this->message();
         wanted.set_configuration_wanted(true);
         peers.send(message.from(), wanted);
     }
-    if (beat.withdrawn_digest() != access->withdrawn_digest && !access->withdrawn.empty())
+    if (heartbeat.withdrawn_digest() != access->withdrawn_digest &&
+        !access->withdrawn.empty())
     {
         peers.send(message.from(), withdrawals_message());
     }
-    if (access->drains.revision > beat.drain_revision())
+    if (access->drains.revision > heartbeat.drain_revision())
     {
         peers.send(message.from(), drains_message());
     }
@@ -170,12 +172,12 @@
 void node::parts::receive_handoff(wire::peer_message const& message)
 {
     custody.take(message.handoff(), boot_clock::now());
-    auto  answer = this->message();
-    auto* ack = answer.mutable_handoff_ack();
+    auto  reply = this->message();
+    auto* ack = reply.mutable_handoff_ack();
     ack->set_node(message.handoff().node());
     ack->set_incarnation(message.handoff().incarnation());
     ack->set_sequence(message.handoff().sequence());
-    peers.send(message.from(), answer);
+    peers.send(message.from(), reply);
 }
 
 void node::parts::run_heartbeats()
@@ -240,12 +242,12 @@
         limits.lend({wanted.workspace(), wanted.ask(), wanted.wanted()}, now);
     if (grant)
     {
-        auto  answer = message();
-        auto* lent = answer.mutable_limit_lent();
+        auto  reply = message();
+        auto* lent = reply.mutable_limit_lent();
         lent->set_workspace(grant->workspace);
         lent->set_ask(grant->ask);
         lent->set_amount(grant->amount);
-        peers.send(received.from(), answer);
+        peers.send(received.from(), reply);
     }
 }
 
--- a/src/app/order_journal.hpp
+++ b/src/app/order_journal.hpp
@@ -146,10 +146,10 @@
         own.sending = leaf::try_handle_all(
             [&]() -> leaf::result<order_sending>
             {
-                BOOST_LEAF_AUTO(answer, orders_.send(message, current->valid_until));
+                BOOST_LEAF_AUTO(response, orders_.send(message, current->valid_until));
                 // Only a refusal of this order shows that it had no effect.
                 bool const refused =
-                    answer.status >= status_refused && answer.status < status_failed;
+                    response.status >= status_refused && response.status < status_failed;
                 return refused ? order_sending::without_effect
                                : order_sending::may_have_effect;
             },
--- a/src/app/usage_recorder.hpp
+++ b/src/app/usage_recorder.hpp
@@ -1,4 +1,4 @@
-// Hands the usage of this process to peers for safety and appends it to the log.
+// Appends the usage of this process to the log, and stores a copy at a peer meanwhile.
 //
 // Index: 1 recorder_options, 2 usage_recorder
 #ifndef MARIGOLDCRANK_APP_USAGE_RECORDER_HPP
--- a/src/app/usage_reporter.hpp
+++ b/src/app/usage_reporter.hpp
@@ -141,8 +141,8 @@
         return leaf::try_handle_all(
             [&]() -> leaf::result<bool>
             {
-                BOOST_LEAF_AUTO(answer, reports_.send(message, held.valid_until));
-                return answer.status == status_ok;
+                BOOST_LEAF_AUTO(response, reports_.send(message, held.valid_until));
+                return response.status == status_ok;
             },
             [&]
             {
