--- a/src/app/answer_stream.hpp
+++ b/src/app/answer_stream.hpp
@@ -1,6 +1,7 @@
-// Tokens on their way from an engine's thread to the caller's thread.
+// Queue that hands the tokens of one response from the engine thread to the caller
+// thread.
 //
-// Index: 1 answer_end, 2 answer_batch, 3 answer_stream
+// Index: 1 response_end, 2 answer_batch, 3 answer_stream
 #ifndef MARIGOLDCRANK_APP_ANSWER_STREAM_HPP
 #define MARIGOLDCRANK_APP_ANSWER_STREAM_HPP
 
@@ -19,28 +20,28 @@
 namespace marigoldcrank
 {
 
-/// How an answer ended: whole, or with a refusal.
-struct answer_end
+/// How a response ended, and the tokens it is accounted with.
+struct response_end
 {
-    std::optional<refusal> refused; // none: the answer is whole
+    std::optional<refusal> refused; // none: the response is complete
     std::uint64_t          prompt_tokens = 0;
     std::uint64_t          output_tokens = 0;
 
-    bool operator==(answer_end const&) const = default;
+    bool operator==(response_end const&) const = default;
 };
 
-/// All that came since the last look.
+/// The tokens, and the end if it has come, since the previous read.
 struct answer_batch
 {
-    std::vector<std::string>  tokens;
-    std::optional<answer_end> end;
+    std::vector<std::string>    tokens;
+    std::optional<response_end> end;
 };
 
-/// One producer, one consumer.
+/// Thread-safe queue for exactly one producer thread and one consumer thread.
 class answer_stream
 {
 public:
-    /// Producer: false once the caller has left.
+    /// Producer: appends a token. Returns false once the caller has disconnected.
     bool push(std::string const& token)
     {
         {
@@ -49,60 +50,62 @@
             {
                 return false;
             }
-            waiting_.tokens.push_back(token);
+            pending_.tokens.push_back(token);
         }
         changed_.notify_one();
         return true;
     }
 
-    /// Producer: nothing may be pushed afterwards.
-    void finish(answer_end const& end)
+    /// Producer: ends the response. No token may be pushed afterwards.
+    void finish(response_end const& end)
     {
         {
             std::lock_guard const lock(mutex_);
-            waiting_.end = end;
+            pending_.end = end;
         }
         changed_.notify_one();
     }
 
-    /// Consumer: waits for a token or the end; an empty batch after the timeout.
+    /// Consumer: waits for a token or the end. Returns an empty batch after the timeout.
     answer_batch take(millis timeout)
     {
         std::unique_lock lock(mutex_);
         changed_.wait_for(lock, timeout,
-                          [&] { return !waiting_.tokens.empty() || waiting_.end; });
-        return std::exchange(waiting_, {});
+                          [&] { return !pending_.tokens.empty() || pending_.end; });
+        return std::exchange(pending_, {});
     }
 
-    /// Consumer: the caller has left. The producer's `on_abandon` runs on this thread, so
-    /// that an engine which gives no token at all is told as well.
+    /// Consumer: marks that the caller has disconnected and runs the callback of
+    /// `on_abandon` on this thread, so that an engine that never produces a token is
+    /// cancelled too.
     void abandon()
     {
-        std::function<void()> notify;
+        std::function<void()> callback;
         {
             std::lock_guard const lock(mutex_);
             abandoned_ = true;
-            notify = on_abandon_;
+            callback = on_abandon_;
         }
-        if (notify)
+        if (callback)
         {
-            notify();
+            callback();
         }
     }
 
-    /// Producer: what to do when the caller leaves; runs at once if it has left. Empty to
-    /// forget. May run once more after it was forgotten, on another thread.
-    void on_abandon(std::function<void()> const& notify)
+    /// Producer: sets the callback to run when the caller disconnects; it runs at once if
+    /// that has already happened. An empty function removes the callback. A removed
+    /// callback may still run once on another thread, since it runs outside the lock.
+    void on_abandon(std::function<void()> const& callback)
     {
-        bool left = false;
+        bool already_abandoned = false;
         {
             std::lock_guard const lock(mutex_);
-            on_abandon_ = notify;
-            left = abandoned_;
+            on_abandon_ = callback;
+            already_abandoned = abandoned_;
         }
-        if (left && notify)
+        if (already_abandoned && callback)
         {
-            notify();
+            callback();
         }
     }
 
@@ -115,7 +118,7 @@
 private:
     mutable std::mutex      mutex_;
     std::condition_variable changed_;
-    answer_batch            waiting_;
+    answer_batch            pending_;
     bool                    abandoned_ = false;
     std::function<void()>   on_abandon_;
 };
--- a/src/app/call_book.hpp
+++ b/src/app/call_book.hpp
@@ -1,7 +1,8 @@
-// Keyed calls that may not be repeated: claims, releases and results in the log.
+// Runs calls that carry an idempotency key at most once: writes their claims, releases
+// and results to the log.
 //
 // Index: 1 call_book_options, 2 call_claim, 3 call_book: claims, 4 call_book: group
-//        commit, 5 call_book: what must reach the log
+//        commit, 5 call_book: pending writes
 #ifndef MARIGOLDCRANK_APP_CALL_BOOK_HPP
 #define MARIGOLDCRANK_APP_CALL_BOOK_HPP
 
@@ -26,33 +27,34 @@
 
 struct call_book_options
 {
-    millis      claim_wait{1500};  // 1500   longest wait for an intent to be read back
-    millis      outage_pause{200}; // 200    between tries of a log that failed
-    std::size_t kept_body = 65536; // 65536  bytes of an answer kept for a second try
+    millis      claim_wait{1500};        // 1500   ms; longest wait to read an intent back
+    millis      append_retry_pause{200}; // 200    ms; between appends to a failing log
+    std::size_t kept_body = 65536;       // 65536  bytes; larger responses are not stored
 
     bool operator==(call_book_options const&) const = default;
 };
 
-/// What a try may do.
+/// Whether an attempt under an idempotency key may be dispatched.
 enum class claim_verdict
 {
-    granted,        // dispatch it, then settle or release it
-    answered,       // an earlier try ran: give its answer
-    key_reused,     // the key belongs to another body
-    in_progress,    // an earlier try runs
-    owner_lost,     // an earlier try has no known outcome
-    log_unavailable // nothing may be dispatched
+    granted,        // dispatch it, then call settle or release
+    answered,       // an earlier attempt ran: return its response
+    key_reused,     // the key was used with another body
+    in_progress,    // an earlier attempt is still running
+    owner_lost,     // the outcome of an earlier attempt is unknown
+    log_unavailable // the log took no claim: do not dispatch
 };
 
 struct call_claim
 {
     claim_verdict verdict = claim_verdict::log_unavailable;
-    call_entry    entry; // of the earlier try
+    call_entry    entry; // of the earlier attempt, or of this one if granted
 
     bool operator==(call_claim const&) const = default;
 };
 
-/// Safe to use from several threads. `flush` is called by one, again and again.
+/// Thread-safe. One thread is expected to call `flush` periodically. `is_alive` tells
+/// whether the VM that owns a claim still runs.
 template <platform_log_port Log>
 class call_book
 {
@@ -60,23 +62,24 @@
     using liveness = std::function<bool(std::string const& owner)>;
 
     call_book(log_writer<Log>& writer, ledger_store& store, std::string self,
-              liveness alive, call_book_options options)
+              liveness is_alive, call_book_options options)
         : writer_(writer), store_(store), self_(std::move(self)),
-          alive_(std::move(alive)), options_(options)
+          is_alive_(std::move(is_alive)), options_(options)
     {
     }
 
     // 3. Claims
 
-    /// Asks the log for the right to dispatch. `intent` has all but the owner.
+    /// Writes a claim for the key to the log and reads it back. `intent` has every field
+    /// except the owner.
     call_claim claim(wire::call_intent intent)
     {
         intent.set_owner(self_);
         if (auto const earlier = find(intent.key_hash()))
         {
-            return judge(*earlier, intent);
+            return decide(*earlier, intent);
         }
-        if (log_is_out())
+        if (log_is_failing())
         {
             return {};
         }
@@ -84,13 +87,13 @@
             std::lock_guard const lock(mutex_);
             running_.insert(intent.request_id());
         }
-        auto const until = boot_clock::now() + options_.claim_wait;
+        auto const deadline = boot_clock::now() + options_.claim_wait;
         bool       sent = false;
-        if (!commit_intent(intent, until, sent))
+        if (!commit_intent(intent, deadline, sent))
         {
-            // The intent may take effect at any later time. It was not dispatched and
-            // never will be; the release lets the next try of this key run.
-            give_up(intent, sent);
+            // The intent may still reach the log later. The call was not and never will
+            // be dispatched, so a release lets the next attempt with this key run.
+            withdraw_claim(intent, sent);
             return {};
         }
         auto const holder = find(intent.key_hash());
@@ -98,13 +101,14 @@
         {
             return {claim_verdict::granted, *holder};
         }
-        leave(intent.request_id());
-        return holder ? judge(*holder, intent)
+        remove_running(intent.request_id());
+        return holder ? decide(*holder, intent)
                       : call_claim{claim_verdict::in_progress, {}};
     }
 
-    /// The granted try was answered, or its outcome is unknown (status 0). Returns once
-    /// the log has taken the result or failed to; then it is tried again by `flush`.
+    /// Records the response of a granted attempt, or an unknown outcome (status 0).
+    /// Returns after the result was read back or the attempt to write it failed; `flush`
+    /// then retries.
     void settle(wire::call_intent const& intent, wire::call_result result)
     {
         result.set_key_hash(intent.key_hash());
@@ -115,39 +119,39 @@
             result.clear_body();
             result.set_body_left_out(true);
         }
-        owed_step owed;
-        owed.result = std::move(result);
-        owe(intent.request_id(), std::move(owed));
-        commit_owed(options_.outage_pause);
+        pending_write pending;
+        pending.result = std::move(result);
+        add_pending(intent.request_id(), std::move(pending));
+        commit_pending(options_.append_retry_pause);
     }
 
-    /// The granted try was not dispatched, and never will be.
+    /// Gives up a granted claim whose call was not dispatched and never will be.
     void release(wire::call_intent const& intent)
     {
-        owe_release(intent);
-        commit_owed(options_.outage_pause);
+        add_pending_release(intent);
+        commit_pending(options_.append_retry_pause);
     }
 
-    /// Tries what the log still has to take. True if nothing is left.
+    /// Retries all pending writes. Returns true if none is left.
     bool flush(millis timeout)
     {
-        commit_owed(timeout);
+        commit_pending(timeout);
         std::lock_guard const lock(mutex_);
-        return owed_.empty();
+        return pending_writes_.empty();
     }
 
 private:
     struct queued_intent
     {
         wire::call_intent intent;
-        std::string       record_id; // of the batch that it was sent in; "" before
+        std::string       record_id; // of the record that it was sent in; "" before
     };
 
-    struct owed_step
+    struct pending_write
     {
         std::optional<wire::call_result>  result;
         std::optional<wire::call_release> release;
-        std::string                       record_id; // as above; "" again if it was lost
+        std::string record_id; // as above; "" again if it was not read back
     };
 
     std::optional<call_entry> find(std::string const& key_hash) const
@@ -156,7 +160,7 @@
                                   { return value.calls().find(key_hash); });
     }
 
-    call_claim judge(call_entry const& entry, wire::call_intent const& intent) const
+    call_claim decide(call_entry const& entry, wire::call_intent const& intent) const
     {
         if (entry.body_hash != intent.body_hash())
         {
@@ -171,95 +175,96 @@
         case call_phase::intended:
             break;
         }
-        bool const runs =
-            entry.owner == self_ ? runs_here(entry.request_id) : alive_(entry.owner);
-        return {runs ? claim_verdict::in_progress : claim_verdict::owner_lost, entry};
+        bool const running = entry.owner == self_ ? is_running_here(entry.request_id)
+                                                  : is_alive_(entry.owner);
+        return {running ? claim_verdict::in_progress : claim_verdict::owner_lost, entry};
     }
 
-    bool runs_here(std::string const& request_id) const
+    bool is_running_here(std::string const& request_id) const
     {
         std::lock_guard const lock(mutex_);
-        return running_.count(request_id) != 0 || owed_.count(request_id) != 0;
+        return running_.count(request_id) != 0 || pending_writes_.count(request_id) != 0;
     }
 
-    void leave(std::string const& request_id)
+    void remove_running(std::string const& request_id)
     {
         std::lock_guard const lock(mutex_);
         running_.erase(request_id);
     }
 
-    void give_up(wire::call_intent const& intent, bool sent)
+    void withdraw_claim(wire::call_intent const& intent, bool sent)
     {
         if (sent)
         {
-            owe_release(intent);
+            add_pending_release(intent);
             return;
         }
-        leave(intent.request_id());
+        remove_running(intent.request_id());
     }
 
-    void owe_release(wire::call_intent const& intent)
+    void add_pending_release(wire::call_intent const& intent)
     {
-        owed_step owed;
-        owed.release.emplace();
-        owed.release->set_key_hash(intent.key_hash());
-        owed.release->set_request_id(intent.request_id());
-        owe(intent.request_id(), std::move(owed));
+        pending_write pending;
+        pending.release.emplace();
+        pending.release->set_key_hash(intent.key_hash());
+        pending.release->set_request_id(intent.request_id());
+        add_pending(intent.request_id(), std::move(pending));
     }
 
-    void owe(std::string const& request_id, owed_step step)
+    void add_pending(std::string const& request_id, pending_write step)
     {
         std::lock_guard const lock(mutex_);
-        owed_[request_id] = std::move(step);
+        pending_writes_[request_id] = std::move(step);
         running_.erase(request_id);
     }
 
     // 4. Group commit
 
-    /// Queues the intent and has it appended, by this thread or by another that appends
-    /// for all that wait. True once it was read back. `sent` tells whether the log may
-    /// have got it.
-    bool commit_intent(wire::call_intent const& intent, boot_clock::time_point until,
+    /// Queues the intent; this thread, or another one that is already appending, writes
+    /// all queued intents in one record. Returns true once the record was read back.
+    /// `sent` is set to whether the log may have received the intent.
+    bool commit_intent(wire::call_intent const& intent, boot_clock::time_point deadline,
                        bool& sent)
     {
         auto const& id = intent.request_id();
         {
             std::lock_guard const lock(mutex_);
-            waiting_[id] = {intent, ""};
+            queued_intents_[id] = {intent, ""};
         }
         std::string record_id;
         {
-            // While one thread appends, the others gather here: the next append takes
+            // While one thread appends, others queue their intents; the next append takes
             // all of them.
-            std::unique_lock turn(append_turn_, std::defer_lock);
-            if (turn.try_lock_for(remaining(until)))
+            std::unique_lock append_lock(append_mutex_, std::defer_lock);
+            if (append_lock.try_lock_for(remaining(deadline)))
             {
-                append_waiting();
+                append_queued();
             }
             std::lock_guard const lock(mutex_);
-            record_id = waiting_[id].record_id;
-            waiting_.erase(id);
+            record_id = queued_intents_[id].record_id;
+            queued_intents_.erase(id);
         }
         sent = !record_id.empty();
         bool const read_back =
-            sent && store_.wait_for(record_id, remaining(until)).has_value();
-        conclude_owed(record_id, read_back);
+            sent && store_.wait_for(record_id, remaining(deadline)).has_value();
+        finish_pending(record_id, read_back);
         return read_back;
     }
 
-    /// One append for all that waits. Returns the record's id; "" if nothing waited.
-    std::string append_waiting()
+    /// Appends all queued intents and unsent pending writes as one record. Returns the id
+    /// of the record, or "" if there was nothing to write.
+    std::string append_queued()
     {
         wire::log_record record;
         {
             std::lock_guard const lock(mutex_);
             auto const            id = random_id(record_id_digits);
             auto* const           batch = record.mutable_calls();
-            for (auto& [request, owed] : owed_)
+            for (auto& [request, pending] : pending_writes_)
             {
-                add(owed, id, *batch);
+                add(pending, id, *batch);
             }
-            for (auto& [request, queued] : waiting_)
+            for (auto& [request, queued] : queued_intents_)
             {
                 if (queued.record_id.empty())
                 {
@@ -273,86 +278,88 @@
         {
             return {};
         }
-        note_append(writer_.send(record));
+        record_append_result(writer_.send(record));
         return record.record_id();
     }
 
-    static void add(owed_step& owed, std::string const& record_id,
+    static void add(pending_write& pending, std::string const& record_id,
                     wire::call_batch& batch)
     {
-        if (!owed.record_id.empty())
+        if (!pending.record_id.empty())
         {
             return;
         }
-        owed.record_id = record_id;
-        if (owed.result)
+        pending.record_id = record_id;
+        if (pending.result)
         {
-            *batch.add_results() = *owed.result;
+            *batch.add_results() = *pending.result;
         }
-        if (owed.release)
+        if (pending.release)
         {
-            *batch.add_releases() = *owed.release;
+            *batch.add_releases() = *pending.release;
         }
     }
 
-    static millis remaining(boot_clock::time_point until)
+    static millis remaining(boot_clock::time_point deadline)
     {
-        auto const left = until - boot_clock::now();
+        auto const left = deadline - boot_clock::now();
         return std::max(millis{0}, std::chrono::duration_cast<millis>(left));
     }
 
-    // 5. What must reach the log
+    // 5. Pending writes
 
-    /// While the log is out a new call is refused at once. What is owed tries the log
-    /// again; if nothing is, a call does so now and then.
-    bool log_is_out() const
+    /// True if new claims are refused without trying the log. While writes are pending,
+    /// `flush` probes the log; otherwise a claim probes it after each pause.
+    bool log_is_failing() const
     {
         std::lock_guard const lock(mutex_);
-        return failed_ && (!owed_.empty() || boot_clock::now() < out_until_);
+        return append_failed_ &&
+               (!pending_writes_.empty() || boot_clock::now() < refuse_until_);
     }
 
-    void note_append(bool taken)
+    void record_append_result(bool appended)
     {
         std::lock_guard const lock(mutex_);
-        failed_ = !taken;
-        out_until_ = boot_clock::now() + options_.outage_pause;
+        append_failed_ = !appended;
+        refuse_until_ = boot_clock::now() + options_.append_retry_pause;
     }
 
-    /// Appends all that is owed; what was read back is owed no more. A repeat has no
-    /// effect in the fold.
-    void commit_owed(millis timeout)
+    /// Appends all pending writes and removes those that were read back. A repeated write
+    /// has no effect in the fold.
+    void commit_pending(millis timeout)
     {
-        auto const  until = boot_clock::now() + timeout;
+        auto const  deadline = boot_clock::now() + timeout;
         std::string record_id;
         {
-            std::unique_lock turn(append_turn_, std::defer_lock);
-            if (!turn.try_lock_for(timeout))
+            std::unique_lock append_lock(append_mutex_, std::defer_lock);
+            if (!append_lock.try_lock_for(timeout))
             {
                 return;
             }
-            record_id = append_waiting();
+            record_id = append_queued();
         }
         if (record_id.empty())
         {
             return;
         }
-        conclude_owed(record_id,
-                      store_.wait_for(record_id, remaining(until)).has_value());
+        finish_pending(record_id,
+                       store_.wait_for(record_id, remaining(deadline)).has_value());
     }
 
-    /// What was owed travels with any append, that of an intent as well; if the record
-    /// was not read back it must go with the next one.
-    void conclude_owed(std::string const& record_id, bool read_back)
+    /// Removes the pending writes of a record that was read back. If it was not, they are
+    /// sent again with the next record. Any append carries pending writes, including that
+    /// of an intent.
+    void finish_pending(std::string const& record_id, bool read_back)
     {
         std::lock_guard const lock(mutex_);
-        for (auto each = owed_.begin(); each != owed_.end();)
+        for (auto each = pending_writes_.begin(); each != pending_writes_.end();)
         {
-            bool const of_this = each->second.record_id == record_id;
-            if (of_this && !read_back)
+            bool const in_record = each->second.record_id == record_id;
+            if (in_record && !read_back)
             {
                 each->second.record_id.clear();
             }
-            each = of_this && read_back ? owed_.erase(each) : std::next(each);
+            each = in_record && read_back ? pending_writes_.erase(each) : std::next(each);
         }
     }
 
@@ -361,15 +368,15 @@
     log_writer<Log>&                     writer_;
     ledger_store&                        store_;
     std::string                          self_;
-    liveness                             alive_;
+    liveness                             is_alive_;
     call_book_options                    options_;
-    std::timed_mutex                     append_turn_;
+    std::timed_mutex                     append_mutex_;
     mutable std::mutex                   mutex_;
-    std::map<std::string, queued_intent> waiting_;        // by request id
-    std::map<std::string, owed_step>     owed_;           // by request id
-    std::set<std::string>                running_;        // tries claimed or dispatched
-    bool                                 failed_ = false; // the last append
-    boot_clock::time_point               out_until_{};
+    std::map<std::string, queued_intent> queued_intents_; // by request id
+    std::map<std::string, pending_write> pending_writes_; // by request id
+    std::set<std::string>                running_; // attempts being claimed or dispatched
+    bool                                 append_failed_ = false; // the last append failed
+    boot_clock::time_point               refuse_until_{};
 };
 
 } // namespace marigoldcrank
--- a/src/app/caller_front.hpp
+++ b/src/app/caller_front.hpp
@@ -1,4 +1,4 @@
-// Routes for callers: model calls, plain services, health, metrics.
+// HTTP routes for callers: model calls, plain services, health and metrics.
 //
 // Index: 1 caller_front, 2 model calls, 3 service calls, 4 helpers
 #ifndef MARIGOLDCRANK_APP_CALLER_FRONT_HPP
@@ -24,7 +24,7 @@
 namespace marigoldcrank
 {
 
-/// Adds its routes to a server; must outlive it.
+/// Adds the routes to an HTTP server; must outlive that server.
 template <backend_port Backend, platform_log_port Log>
 class caller_front
 {
@@ -37,13 +37,14 @@
     {
     }
 
-    /// Evidence on service targets.
+    /// Latency samples by which service targets are evaluated.
     target_ledger const& targets() const noexcept
     {
         return targets_;
     }
 
-    /// Asked before each model call; set before the first request.
+    /// Sets the workspace limits that each model call is checked against. Call before the
+    /// first request.
     void limit_by(limit_shares& limits)
     {
         limits_ = &limits;
@@ -72,24 +73,26 @@
         server.Delete("/services/([^/]+)(/.*)", service);
         server.Get("/healthz", [](auto const&, auto& response)
                    { response.set_content("ok\n", "text/plain"); });
-        server.Get("/readyz", [this](auto const&, auto& response) { ready(response); });
+        server.Get("/readyz",
+                   [this](auto const&, auto& response) { write_readiness(response); });
         server.Get("/metrics", [this](auto const&, auto& response)
                    { response.set_content(metrics_.exposition(), "text/plain"); });
         server.set_error_handler([](auto const& request, auto& response)
                                  { fill_error(request, response); });
     }
 
-    /// From now on /readyz tells the balancer to send nothing more, and connections close
-    /// after the request in progress. Requests are still taken, see refuse_new.
+    /// Makes /readyz fail, so that the load balancer stops sending requests, and closes
+    /// each connection after its current request. Requests are still accepted until
+    /// refuse_new.
     void start_draining()
     {
         draining_ = true;
     }
 
-    /// From now on new requests are refused as not run.
+    /// Makes new requests fail with a refusal that says they were not run.
     void refuse_new()
     {
-        refusing_ = true;
+        refusing_new_ = true;
     }
 
     bool draining() const noexcept
@@ -104,11 +107,12 @@
 
 private:
     static constexpr std::size_t request_id_digits = 24;
-    static constexpr millis      take_timeout{200}; // a caller that left is noticed
-    static constexpr int         retry_soon_s = 1;
-    static constexpr int         retry_later_s = 3600;
+    static constexpr millis      take_timeout{
+        200}; // ms; between checks that the caller is connected
+    static constexpr int retry_soon_s = 1;
+    static constexpr int retry_later_s = 3600;
 
-    /// Counts a request as in progress while it lives.
+    /// Counts a request as in progress for the lifetime of the object.
     class inflight_count
     {
     public:
@@ -150,14 +154,15 @@
 
     void model_call(httplib::Request const& http, httplib::Response& response)
     {
-        // Counted before the look at refusing_: a drain that then finds the count at zero
-        // cannot miss a request that is just coming in, and stop the server under it.
+        // The request is counted before refusing_new_ is read. A drain that sees a count
+        // of zero can then not miss a request that is just arriving and stop the server
+        // while it runs.
         auto const counted = std::make_shared<inflight_count>(inflight_);
-        auto const begun = boot_clock::now();
+        auto const started = boot_clock::now();
         auto const request_id = random_id(request_id_digits);
         auto const trace = parse_traceparent(http.get_header_value("traceparent"));
         span_scope span(spans_, trace, request_id, "accept");
-        answer_or_refuse(
+        respond_or_refuse(
             request_id, response,
             [&]() -> leaf::result<void>
             {
@@ -186,32 +191,34 @@
                                       .content = body.content,
                                       .prompt_tokens = body.prompt_tokens,
                                       .trace = span.context(),
-                                      .deadline = begun + deadline_};
+                                      .deadline = started + deadline_};
                 auto caller = std::make_shared<caller_connection>(http.remote_addr,
                                                                   http.remote_port);
-                return answer_model(std::move(request), body.stream, caller, response,
-                                    counted);
+                return respond_to_model_call(std::move(request), body.stream, caller,
+                                             response, counted);
             });
     }
 
-    /// The status line goes out with the first token or the refusal, never before: a call
-    /// that fails early is refused with a status of its own.
-    leaf::result<void> answer_model(model_request request, bool streamed,
-                                    std::shared_ptr<caller_connection> const& caller,
-                                    httplib::Response&                        response,
-                                    std::shared_ptr<inflight_count> const&    counted)
+    /// Starts the call and waits for the first token or the end before it sends the
+    /// status line, so that a call that fails before its first token gets an error
+    /// status.
+    leaf::result<void>
+    respond_to_model_call(model_request request, bool streamed,
+                          std::shared_ptr<caller_connection> const& caller,
+                          httplib::Response&                        response,
+                          std::shared_ptr<inflight_count> const&    counted)
     {
-        bool const    chat = request.path == "/v1/chat/completions";
-        auto const    begun = boot_clock::now();
-        answer_writer writer(request.request_id, request.model, chat);
-        auto const    request_id = request.request_id;
-        auto timing = std::make_shared<answer_timing>(targets_, spans_, request.trace,
-                                                      request_id, request.workspace,
-                                                      request.deadline - deadline_);
+        bool const      chat = request.path == "/v1/chat/completions";
+        auto const      started = boot_clock::now();
+        response_writer writer(request.request_id, request.model, chat);
+        auto const      request_id = request.request_id;
+        auto timing = std::make_shared<response_timing>(targets_, spans_, request.trace,
+                                                        request_id, request.workspace,
+                                                        request.deadline - deadline_);
         auto stream = path_.start(std::move(request));
-        auto first = await(*stream, *caller);
+        auto first = wait_for_tokens(*stream, *caller);
         timing->take(first);
-        metrics_.observe("first_token_seconds", boot_clock::now() - begun);
+        metrics_.observe("first_token_seconds", boot_clock::now() - started);
         if (first.tokens.empty() && first.end && first.end->refused)
         {
             return leaf::new_error(*first.end->refused);
@@ -220,8 +227,8 @@
         response.set_header("X-Request-Id", request_id);
         if (!streamed)
         {
-            return answer_whole(*stream, *caller, std::move(first), writer, response,
-                                *timing);
+            return write_complete_response(*stream, *caller, std::move(first), writer,
+                                           response, *timing);
         }
         auto state = std::make_shared<answer_batch>(std::move(first));
         response.set_chunked_content_provider(
@@ -229,16 +236,17 @@
             [this, stream, state, writer, request_id, caller, counted,
              timing](std::size_t, httplib::DataSink& sink)
             {
-                return relay(*stream, *state, writer, request_id, sink, *timing) &&
+                return write_stream_events(*stream, *state, writer, request_id, sink,
+                                           *timing) &&
                        !caller->closed();
             },
             [stream](bool) { stream->abandon(); });
         return {};
     }
 
-    /// Waits for a token or the end; the path ends every request by its deadline, and at
-    /// once if the caller has left.
-    static answer_batch await(answer_stream& stream, caller_connection& caller)
+    /// Waits for a token or the end. The request path ends every request by its deadline,
+    /// and at once if the caller has disconnected.
+    static answer_batch wait_for_tokens(answer_stream& stream, caller_connection& caller)
     {
         answer_batch batch;
         while (batch.tokens.empty() && !batch.end)
@@ -252,9 +260,10 @@
         return batch;
     }
 
-    leaf::result<void> answer_whole(answer_stream& stream, caller_connection& caller,
-                                    answer_batch batch, answer_writer const& writer,
-                                    httplib::Response& response, answer_timing& timing)
+    leaf::result<void>
+    write_complete_response(answer_stream& stream, caller_connection& caller,
+                            answer_batch batch, response_writer const& writer,
+                            httplib::Response& response, response_timing& timing)
     {
         std::string text;
         while (true)
@@ -271,25 +280,25 @@
             {
                 stream.abandon();
             }
-            batch = await(stream, caller);
+            batch = wait_for_tokens(stream, caller);
             timing.take(batch);
         }
         if (batch.end->refused)
         {
             return leaf::new_error(*batch.end->refused);
         }
-        response.set_content(
-            writer.whole(text, batch.end->prompt_tokens, batch.end->output_tokens),
-            "application/json");
+        response.set_content(writer.complete_body(text, batch.end->prompt_tokens,
+                                                  batch.end->output_tokens),
+                             "application/json");
         return {};
     }
 
-    /// Writes what has come; called again and again until it ends the answer. An answer
-    /// that breaks off before its end leaves the chunked coding open, so that no library
-    /// takes it for a whole one.
-    bool relay(answer_stream& stream, answer_batch& batch, answer_writer const& writer,
-               std::string const& request_id, httplib::DataSink& sink,
-               answer_timing& timing)
+    /// Writes the tokens that have arrived; httplib calls it until the response ends. A
+    /// response that is interrupted leaves the chunked coding unterminated, so that no
+    /// HTTP client takes it for complete.
+    bool write_stream_events(answer_stream& stream, answer_batch& batch,
+                             response_writer const& writer, std::string const& request_id,
+                             httplib::DataSink& sink, response_timing& timing)
     {
         std::string out;
         for (auto const& token : batch.tokens)
@@ -298,12 +307,13 @@
         }
         if (batch.end && batch.end->refused)
         {
-            // No [DONE]: a short answer must not look whole.
+            // [DONE] is left out, so that a truncated response does not look complete.
             out += "data: " + refusal_body(*batch.end->refused, request_id) + "\n\n";
         }
         else if (batch.end)
         {
-            out += writer.closing(batch.end->prompt_tokens, batch.end->output_tokens);
+            out +=
+                writer.closing_events(batch.end->prompt_tokens, batch.end->output_tokens);
         }
         if (!out.empty() && !sink.write(out.data(), out.size()))
         {
@@ -322,7 +332,7 @@
     void models(httplib::Request const& http, httplib::Response& response)
     {
         auto const request_id = random_id(request_id_digits);
-        answer_or_refuse(
+        respond_or_refuse(
             request_id, response,
             [&]() -> leaf::result<void>
             {
@@ -343,28 +353,29 @@
 
     void service_call(httplib::Request const& http, httplib::Response& response)
     {
-        inflight_count const counted(inflight_); // as in model_call
+        inflight_count const counted(inflight_); // for drains, as in model_call
         auto const           request_id = random_id(request_id_digits);
         auto const trace = parse_traceparent(http.get_header_value("traceparent"));
         span_scope span(spans_, trace, request_id, "accept");
-        answer_or_refuse(request_id, response,
-                         [&]() -> leaf::result<void>
-                         {
-                             BOOST_LEAF_AUTO(admitted,
-                                             authorise(http, request_id, span.context()));
-                             BOOST_LEAF_AUTO(request, service_request_of(http, admitted));
-                             request.request_id = request_id;
-                             request.trace = span.context();
-                             request.deadline = boot_clock::now() + deadline_;
-                             BOOST_LEAF_AUTO(reply, services_.call(request));
-                             metrics_.add("requests_total", "kind=\"service\"");
-                             response.set_header("X-Request-Id", request_id);
-                             write_reply(response, reply);
-                             return {};
-                         });
+        respond_or_refuse(
+            request_id, response,
+            [&]() -> leaf::result<void>
+            {
+                BOOST_LEAF_AUTO(admitted, authorise(http, request_id, span.context()));
+                BOOST_LEAF_AUTO(request, service_request_of(http, admitted));
+                request.request_id = request_id;
+                request.trace = span.context();
+                request.deadline = boot_clock::now() + deadline_;
+                BOOST_LEAF_AUTO(reply, services_.call(request));
+                metrics_.add("requests_total", "kind=\"service\"");
+                response.set_header("X-Request-Id", request_id);
+                write_reply(response, reply);
+                return {};
+            });
     }
 
-    /// A second try under a key is told that the answer is that of the first.
+    /// Writes the response of a service. X-Earlier-Result marks one that comes from an
+    /// earlier attempt with the same idempotency key.
     static void write_reply(httplib::Response& response, service_reply const& reply)
     {
         auto const& type = reply.answer.content_type;
@@ -414,7 +425,7 @@
                                       trace_context const&    trace)
     {
         span_scope span(spans_, trace, request_id, "authorise");
-        if (refusing_)
+        if (refusing_new_)
         {
             return leaf::new_error(
                 refusal{refusal_cause::draining, call_fate::not_run, retry_soon_s});
@@ -423,8 +434,8 @@
     }
 
     template <class Body>
-    void answer_or_refuse(std::string const& request_id, httplib::Response& response,
-                          Body&& body)
+    void respond_or_refuse(std::string const& request_id, httplib::Response& response,
+                           Body&& body)
     {
         leaf::try_handle_all(
             std::forward<Body>(body),
@@ -452,14 +463,14 @@
         write_refusal(response, value, request_id);
     }
 
-    void ready(httplib::Response& response) const
+    void write_readiness(httplib::Response& response) const
     {
         bool const serves = !draining_ && store_.access()->config != nullptr;
         response.status = serves ? 200 : 503;
         response.set_content(serves ? "ready\n" : "not ready\n", "text/plain");
     }
 
-    /// Errors that the server itself finds before a route runs.
+    /// Adds a refusal body to errors that the HTTP server reports before a route runs.
     static void fill_error(httplib::Request const&, httplib::Response& response)
     {
         if (!response.body.empty())
@@ -484,7 +495,7 @@
     target_ledger               targets_;
     limit_shares*               limits_ = nullptr;
     std::atomic<bool>           draining_{false};
-    std::atomic<bool>           refusing_{false};
+    std::atomic<bool>           refusing_new_{false};
     std::atomic<std::int64_t>   inflight_{0};
 };
 
--- a/src/app/caller_request.cpp
+++ b/src/app/caller_request.cpp
@@ -1,4 +1,4 @@
-// Admission of keys.
+// Authentication of callers by API key.
 #include "app/caller_request.hpp"
 
 #include "domain/api_key.hpp"
@@ -31,7 +31,7 @@
 
 leaf::result<admission> admit(access_list const& access, std::string const& authorization)
 {
-    // A node that knows no configuration refuses; it does not guess.
+    // Without a configuration no key can be checked, so every request is refused.
     if (!access.config)
     {
         return refuse(refusal_cause::no_configuration, retry_soon_s);
--- a/src/app/caller_request.hpp
+++ b/src/app/caller_request.hpp
@@ -1,4 +1,4 @@
-// A caller's request after the front has read it, and the admission of its key.
+// A parsed caller request, and the authentication of its API key.
 //
 // Index: 1 admission, 2 key_state, 3 model_request, 4 service_request, 5 admit
 #ifndef MARIGOLDCRANK_APP_CALLER_REQUEST_HPP
@@ -15,7 +15,7 @@
 namespace marigoldcrank
 {
 
-/// The workspace a request runs for, and the configuration it was admitted under.
+/// The workspace that a request belongs to, and the configuration that admitted it.
 struct admission
 {
     std::string                          workspace;
@@ -23,12 +23,12 @@
     std::shared_ptr<configuration const> config;
 };
 
-/// What became of a key after its request was admitted.
+/// Current state of an API key whose request was admitted earlier.
 enum class key_state
 {
     good,
-    withdrawn,  // queued work is refused, dispatched work finishes
-    compromised // dispatched work is cancelled as well
+    withdrawn,  // queued requests are refused, dispatched ones finish
+    compromised // dispatched requests are cancelled as well
 };
 
 struct model_request
@@ -53,7 +53,7 @@
     std::string            key_id;
     std::string            service;
     std::string            group;
-    bool                   once = false; // may not be repeated
+    bool                   once = false; // must not run more than once
     std::string            idempotency_key;
     std::string            method;
     std::string            path;
@@ -63,7 +63,8 @@
     boot_clock::time_point deadline{};
 };
 
-/// Judges the text of an Authorization header. Fails with refusal; the key ends here.
+/// Authenticates the value of an Authorization header. Fails with refusal. The secret of
+/// the key is not passed on.
 leaf::result<admission> admit(access_list const& access,
                               std::string const& authorization);
 
--- a/src/app/limit_shares.cpp
+++ b/src/app/limit_shares.cpp
@@ -1,4 +1,4 @@
-// Limits of workspaces, shared by all entry VMs.
+// Token limits of workspaces, shared by all entry VMs.
 #include "app/limit_shares.hpp"
 
 #include <algorithm>
@@ -10,16 +10,17 @@
 {
 constexpr std::int64_t millis_per_minute = 60'000;
 constexpr double       seconds_per_minute = 60;
-constexpr double       burst_s = 10; // of the share that an idle workspace saves up
-constexpr std::int64_t second_ms = 1000;
-constexpr std::int64_t memory = 4; // heartbeats that the demand is averaged over
+constexpr double burst_s = 10; // seconds of its share that an idle workspace accumulates
+constexpr std::int64_t millis_per_second = 1000;
+constexpr std::int64_t smoothing_heartbeats =
+    4; // divisor of the moving average of the demand
 
-std::int64_t millis_between(boot_clock::time_point from, boot_clock::time_point to)
+std::int64_t elapsed_millis(boot_clock::time_point from, boot_clock::time_point to)
 {
     return std::chrono::duration_cast<millis>(to - from).count();
 }
 
-/// `per_minute`: this VM's share, in tokens a minute.
+/// `per_minute`: this VM's share, in tokens per minute.
 quota_bounds bounds_of_share(std::int64_t per_minute)
 {
     auto const rate = static_cast<double>(per_minute) / seconds_per_minute;
@@ -36,9 +37,9 @@
 void limit_shares::configure(configuration const& config)
 {
     std::lock_guard const lock(mutex_);
-    for (auto& [name, own] : meters_)
+    for (auto& [name, workspace_meter] : meters_)
     {
-        own.limit = 0;
+        workspace_meter.limit = 0;
     }
     for (auto const& [name, rule] : config.workspaces)
     {
@@ -47,16 +48,16 @@
     }
 }
 
-quota_bucket& limit_shares::bucket_of(std::string const& workspace, meter& own,
-                                      boot_clock::time_point now)
+quota_bucket& limit_shares::bucket_of(std::string const& workspace,
+                                      meter& workspace_meter, boot_clock::time_point now)
 {
     auto const bounds = bounds_of_share(book_.usable(workspace, now));
-    if (!own.bucket)
+    if (!workspace_meter.bucket)
     {
-        own.bucket.emplace(bounds, now);
+        workspace_meter.bucket.emplace(bounds, now);
     }
-    own.bucket->limit(bounds, now);
-    return *own.bucket;
+    workspace_meter.bucket->limit(bounds, now);
+    return *workspace_meter.bucket;
 }
 
 leaf::result<void> limit_shares::admit(std::string const& workspace, std::int64_t tokens,
@@ -68,12 +69,12 @@
     {
         return {};
     }
-    auto& own = found->second;
-    own.offered += tokens;
-    auto& bucket = bucket_of(workspace, own, now);
+    auto& workspace_meter = found->second;
+    workspace_meter.offered += tokens;
+    auto& bucket = bucket_of(workspace, workspace_meter, now);
     if (auto const wait = bucket.take(1, now))
     {
-        auto const seconds = wait->count() / second_ms + 1;
+        auto const seconds = wait->count() / millis_per_second + 1;
         return leaf::new_error(refusal{refusal_cause::over_limit, call_fate::not_run,
                                        static_cast<int>(seconds)});
     }
@@ -96,27 +97,28 @@
 std::vector<limit_ask> limit_shares::asks(boot_clock::time_point now)
 {
     std::lock_guard const  lock(mutex_);
-    std::vector<limit_ask> wanted;
-    for (auto& [workspace, own] : meters_)
+    std::vector<limit_ask> new_asks;
+    for (auto& [workspace, workspace_meter] : meters_)
     {
-        auto const elapsed = std::max<std::int64_t>(1, millis_between(own.asked_at, now));
-        bool const first = own.asked_at == boot_clock::time_point{};
-        own.asked_at = now;
-        if (own.limit == 0 || first)
+        auto const elapsed =
+            std::max<std::int64_t>(1, elapsed_millis(workspace_meter.asked_at, now));
+        bool const first = workspace_meter.asked_at == boot_clock::time_point{};
+        workspace_meter.asked_at = now;
+        if (workspace_meter.limit == 0 || first)
         {
-            own.offered = 0;
+            workspace_meter.offered = 0;
             continue;
         }
-        auto const rate = own.offered * millis_per_minute / elapsed;
-        own.demand += (rate - own.demand) / memory;
-        own.offered = 0;
-        book_.set_demand(workspace, own.demand);
+        auto const rate = workspace_meter.offered * millis_per_minute / elapsed;
+        workspace_meter.demand += (rate - workspace_meter.demand) / smoothing_heartbeats;
+        workspace_meter.offered = 0;
+        book_.set_demand(workspace, workspace_meter.demand);
         if (auto const ask = book_.ask(workspace, now))
         {
-            wanted.push_back(*ask);
+            new_asks.push_back(*ask);
         }
     }
-    return wanted;
+    return new_asks;
 }
 
 std::optional<limit_grant> limit_shares::lend(limit_ask const&       ask,
--- a/src/app/limit_shares.hpp
+++ b/src/app/limit_shares.hpp
@@ -1,4 +1,4 @@
-// Limits of workspaces in tokens a minute, shared by all entry VMs.
+// Token limits of workspaces (tokens per minute), shared by all entry VMs.
 //
 // Index: limit_shares
 #ifndef MARIGOLDCRANK_APP_LIMIT_SHARES_HPP
@@ -18,26 +18,29 @@
 namespace marigoldcrank
 {
 
-/// Meters what a workspace uses here against this entry VM's share of its limit. A call
-/// is admitted while the meter is not in debt and may put it there, since its output is
-/// known only afterwards: over time the share holds, at any moment it is overrun by no
-/// more than the calls in progress. Safe to use from several threads.
+/// Meters the tokens that a workspace uses on this entry VM against the share of its
+/// limit that this VM holds. A call is admitted while the meter is not in debt. The call
+/// may put the meter into debt, since its output is known only afterwards. On average the
+/// share holds; at any moment it is exceeded by at most the calls in progress.
+/// Thread-safe.
 class limit_shares
 {
 public:
     limit_shares(limit_terms terms, std::uint64_t first_ask);
 
-    /// Takes the limits of the rules in force.
+    /// Applies the limits of the configuration in force.
     void configure(configuration const& config);
 
-    /// Fails with refusal over_limit, which says when the debt will be paid.
+    /// Charges the tokens of a new call. Fails with refusal over_limit, whose retry time
+    /// is when the debt will be paid.
     leaf::result<void> admit(std::string const& workspace, std::int64_t tokens,
                              boot_clock::time_point now);
 
-    /// Counts tokens that are known only after admission.
+    /// Charges tokens that are known only after admission.
     void charge(std::string const& workspace, std::int64_t tokens);
 
-    /// What to ask peers for now; each ask goes to one peer. Call it with each heartbeat.
+    /// Requests to peers for parts of their shares; each one goes to one peer. Call at
+    /// each heartbeat.
     std::vector<limit_ask> asks(boot_clock::time_point now);
 
     std::optional<limit_grant> lend(limit_ask const& ask, boot_clock::time_point now);
@@ -46,15 +49,15 @@
 private:
     struct meter
     {
-        std::int64_t                limit = 0;   // tokens a minute; 0 for none
-        std::int64_t                offered = 0; // tokens since the last ask
-        std::int64_t                demand = 0;  // tokens a minute, smoothed
+        std::int64_t                limit = 0;   // tokens per minute; 0: no limit
+        std::int64_t                offered = 0; // tokens since asked_at
+        std::int64_t                demand = 0;  // tokens per minute, smoothed
         std::optional<quota_bucket> bucket;      // none: not used yet
         boot_clock::time_point      asked_at{};
     };
 
-    /// The bucket of this VM's share as it is now.
-    quota_bucket& bucket_of(std::string const& workspace, meter& own,
+    /// The bucket of the workspace, adjusted to the current share of this VM.
+    quota_bucket& bucket_of(std::string const& workspace, meter& workspace_meter,
                             boot_clock::time_point now);
 
     std::mutex                   mutex_;
--- a/src/app/model_body.cpp
+++ b/src/app/model_body.cpp
@@ -1,4 +1,4 @@
-// Bodies of the language model API.
+// JSON request and response bodies of the language model API.
 #include "app/model_body.hpp"
 
 #include "domain/api_key.hpp"
@@ -28,7 +28,7 @@
     return json(text).dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-leaf::error_id malformed(std::string const& detail)
+leaf::error_id malformed_body(std::string const& detail)
 {
     return leaf::new_error(message_failure{"request body", detail});
 }
@@ -40,27 +40,27 @@
     auto const parsed = json::parse(body, nullptr, false);
     if (!parsed.is_object())
     {
-        return malformed("not a JSON object");
+        return malformed_body("not a JSON object");
     }
     auto const model = parsed.find("model");
     if (model == parsed.end() || !model->is_string())
     {
-        return malformed("field model is missing");
+        return malformed_body("field model is missing or not a string");
     }
     bool const  chat = path == "/v1/chat/completions";
     char const* field = chat ? "messages" : "prompt";
     auto const  prompt = parsed.find(field);
-    bool const  readable =
+    bool const  valid_prompt =
         prompt != parsed.end() && (chat ? prompt->is_array() : prompt->is_string());
-    if (!readable)
+    if (!valid_prompt)
     {
-        return malformed(std::string{"field "} + field +
-                         " is missing or of another type");
+        return malformed_body(std::string{"field "} + field +
+                              " is missing or has the wrong type");
     }
     auto const stream = parsed.find("stream");
     if (stream != parsed.end() && !stream->is_boolean())
     {
-        return malformed("field stream is not true or false");
+        return malformed_body("field stream is not a boolean");
     }
     model_body result;
     result.model = model->get<std::string>();
@@ -71,8 +71,8 @@
     return result;
 }
 
-answer_writer::answer_writer(std::string const& request_id, std::string const& model,
-                             bool chat)
+response_writer::response_writer(std::string const& request_id, std::string const& model,
+                                 bool chat)
     : request_id_(request_id), model_(model), chat_(chat)
 {
     auto const created = std::to_string(unix_millis() / millis_per_second);
@@ -85,27 +85,29 @@
         chat ? "},\"finish_reason\":null}]}\n\n" : ",\"finish_reason\":null}]}\n\n";
 }
 
-std::string answer_writer::chunk(std::string const& token) const
+std::string response_writer::chunk(std::string const& token) const
 {
     return chunk_prefix_ + escaped(token) + chunk_suffix_;
 }
 
-std::string answer_writer::closing(std::uint64_t prompt_tokens,
-                                   std::uint64_t output_tokens) const
+std::string response_writer::closing_events(std::uint64_t prompt_tokens,
+                                            std::uint64_t output_tokens) const
 {
     json const choice =
         chat_ ? json{{"index", 0}, {"delta", json::object()}, {"finish_reason", "stop"}}
               : json{{"index", 0}, {"text", ""}, {"finish_reason", "stop"}};
-    json const last = {{"id", request_id_},
-                       {"object", chat_ ? "chat.completion.chunk" : "text_completion"},
-                       {"model", model_},
-                       {"choices", json::array({choice})},
-                       {"usage", usage_object(prompt_tokens, output_tokens)}};
-    return "data: " + last.dump() + "\n\ndata: [DONE]\n\n";
+    json const final_chunk = {
+        {"id", request_id_},
+        {"object", chat_ ? "chat.completion.chunk" : "text_completion"},
+        {"model", model_},
+        {"choices", json::array({choice})},
+        {"usage", usage_object(prompt_tokens, output_tokens)}};
+    return "data: " + final_chunk.dump() + "\n\ndata: [DONE]\n\n";
 }
 
-std::string answer_writer::whole(std::string const& text, std::uint64_t prompt_tokens,
-                                 std::uint64_t output_tokens) const
+std::string response_writer::complete_body(std::string const& text,
+                                           std::uint64_t      prompt_tokens,
+                                           std::uint64_t      output_tokens) const
 {
     json choice = {{"index", 0}, {"finish_reason", "stop"}};
     if (chat_)
--- a/src/app/model_body.hpp
+++ b/src/app/model_body.hpp
@@ -1,6 +1,6 @@
-// Bodies of the language model API: reading requests, writing answers.
+// JSON bodies of the language model API: parses requests, formats responses.
 //
-// Index: 1 model_body (request), 2 answer_writer (chunks, whole answers)
+// Index: 1 model_body (request), 2 response_writer (chunks, complete bodies)
 #ifndef MARIGOLDCRANK_APP_MODEL_BODY_HPP
 #define MARIGOLDCRANK_APP_MODEL_BODY_HPP
 
@@ -12,36 +12,38 @@
 namespace marigoldcrank
 {
 
-/// What routing needs of a request body.
+/// The fields of a request body that routing needs.
 struct model_body
 {
     std::string  model;
     bool         stream = false;
-    std::string  content; // hash of model and prompt, by which poison is recognised
-    std::int64_t prompt_tokens = 0; // estimate: four bytes a token
+    std::string  content; // hash of model and prompt, the key of the poison list
+    std::int64_t prompt_tokens = 0; // estimate: four bytes per token
 
     bool operator==(model_body const&) const = default;
 };
 
-/// Reads a request body. Fails with message_failure.
+/// Parses a request body; `path` selects the chat or the completion form. Fails with
+/// message_failure.
 leaf::result<model_body> parse_model_body(std::string const& path,
                                           std::string const& body);
 
-/// Writes the answer of one request in the form of its path.
-class answer_writer
+/// Formats the response of one request in the chat or the completion form.
+class response_writer
 {
 public:
-    answer_writer(std::string const& request_id, std::string const& model, bool chat);
+    response_writer(std::string const& request_id, std::string const& model, bool chat);
 
-    /// One server-sent event for one token.
+    /// The server-sent event of one token.
     std::string chunk(std::string const& token) const;
 
-    /// The closing events of a whole answer, [DONE] last.
-    std::string closing(std::uint64_t prompt_tokens, std::uint64_t output_tokens) const;
+    /// The last server-sent events of a complete response: token usage, then [DONE].
+    std::string closing_events(std::uint64_t prompt_tokens,
+                               std::uint64_t output_tokens) const;
 
-    /// The body of an answer that is not streamed.
-    std::string whole(std::string const& text, std::uint64_t prompt_tokens,
-                      std::uint64_t output_tokens) const;
+    /// The body of a response that is not streamed.
+    std::string complete_body(std::string const& text, std::uint64_t prompt_tokens,
+                              std::uint64_t output_tokens) const;
 
 private:
     std::string request_id_;
--- a/src/app/model_parts.hpp
+++ b/src/app/model_parts.hpp
@@ -1,4 +1,4 @@
-// What all model calls of a process share.
+// Options and services that all model calls of a process share.
 //
 // Index: 1 request_options, 2 shared_retry_budget, 3 model_parts
 #ifndef MARIGOLDCRANK_APP_MODEL_PARTS_HPP
@@ -21,19 +21,19 @@
 namespace marigoldcrank
 {
 
-/// Options of the request path.
+/// Options of model calls.
 struct request_options
 {
     std::string          data_centre = "dc-1"; // "dc-1"  of this entry VM
-    std::int64_t         max_attempts = 3;     // 3       tries that reach a server
+    std::int64_t         max_attempts = 3;     // 3       that may reach a server
     retry_budget_options retries{};            //         see retry_budget.hpp
-    millis               solo_pause{10};       // 10      between looks at a server, ms
-    millis               solo_settle{20};      // 20      for a peer's claim to arrive, ms
+    millis               solo_pause{10};       // 10      ms; between checks of a server
+    millis               solo_settle{20};      // 20      ms; for a peer's claim to arrive
 
     bool operator==(request_options const&) const = default;
 };
 
-/// The retry budget of a process.
+/// Thread-safe retry budget of the process.
 class shared_retry_budget
 {
 public:
@@ -56,7 +56,7 @@
     retry_budget budget_;
 };
 
-/// What all model calls of a process share.
+/// References to the services that a model call uses.
 template <backend_port Backend>
 struct model_parts
 {
@@ -66,7 +66,7 @@
     metrics&                               counters;
     poison_guard&                          poison;
     shared_retry_budget&                   budget;
-    worker_pool&                           cancels; // blocking cancels off the path
+    worker_pool&                           cancels; // runs blocking cancel requests
     std::function<void(wire::usage_delta)> usage;
     std::function<key_state(std::string const& key_id)> keys; // empty: all are good
     request_options                                     options;
--- a/src/app/model_run.hpp
+++ b/src/app/model_run.hpp
@@ -1,4 +1,4 @@
-// One model call from admission to its end: attempts, resumption, retries, usage.
+// Runs one model call from admission to its end: attempts, resumption, retries, usage.
 //
 // Index: 1 model_run: attempts, 2 model_run: suspects, 3 model_run: one attempt,
 //        4 model_run: the end
@@ -21,7 +21,7 @@
 namespace marigoldcrank
 {
 
-/// Used by one thread; the caller's thread reads the stream.
+/// Runs on one thread; the thread of the caller reads the stream.
 template <backend_port Backend>
 class model_run
 {
@@ -50,28 +50,30 @@
 
     // 1. Attempts
 
-    /// One more attempt; false when the request is to be given up.
+    /// Makes one more attempt. Returns false if the call ends with a refusal.
     bool attempt()
     {
         if (auto const cause = reason_to_stop())
         {
-            return give_up(*cause);
+            return end_refused(*cause);
         }
         auto const verdict = parts_.poison.evaluate(request_.content);
         if (verdict == poison_verdict::blocked)
         {
-            return give_up(refusal_cause::poison);
+            return end_refused(refusal_cause::poison);
         }
-        bool const retry = tries_ > 0;
-        if (retry && (tries_ >= parts_.options.max_attempts || !parts_.budget.take()))
+        bool const retry = sent_attempts_ > 0;
+        if (retry &&
+            (sent_attempts_ >= parts_.options.max_attempts || !parts_.budget.take()))
         {
-            return give_up(refusal_cause::backend_server_failed);
+            return end_refused(refusal_cause::backend_server_failed);
         }
         if (retry)
         {
             parts_.counters.add("retries_total");
         }
-        return verdict == poison_verdict::suspect ? run_alone() : run_among_others();
+        return verdict == poison_verdict::suspect ? run_on_reserved_server()
+                                                  : run_on_shared_server();
     }
 
     std::optional<refusal_cause> reason_to_stop() const
@@ -80,7 +82,7 @@
         {
             return refusal_cause::cancelled;
         }
-        if (key_stops())
+        if (key_stops_call())
         {
             return refusal_cause::key_withdrawn;
         }
@@ -91,50 +93,52 @@
         return std::nullopt;
     }
 
-    /// A withdrawn key stops what has not been dispatched; a compromised one everything.
-    bool key_stops() const
+    /// True if the key ends this call: a withdrawn key while nothing can have been sent,
+    /// a compromised key at any time.
+    bool key_stops_call() const
     {
         auto const state = parts_.keys ? parts_.keys(request_.key_id) : key_state::good;
         return state == key_state::compromised ||
                (state == key_state::withdrawn && state_.fate() == call_fate::not_run);
     }
 
-    bool give_up(refusal_cause cause)
+    bool end_refused(refusal_cause cause)
     {
         cause_ = cause;
         state_ = state_.after(request_step::refuse);
         return false;
     }
 
-    bool give_up_without_server()
+    bool refuse_without_server()
     {
-        return give_up(state_.fate() == call_fate::not_run
-                           ? refusal_cause::no_backend_server
-                           : refusal_cause::backend_server_failed);
+        return end_refused(state_.fate() == call_fate::not_run
+                               ? refusal_cause::no_backend_server
+                               : refusal_cause::backend_server_failed);
     }
 
-    bool run_among_others()
+    bool run_on_shared_server()
     {
-        auto server = claim_server();
-        // All that is left may be kept free for suspects, for as long as those run: a
-        // refusal would show callers a crash that hit only others.
-        while (!server && any_server_left() && !parts_.poison.reserved().empty() &&
+        auto server = begin_on_shared_server();
+        // Every server left may be reserved for suspects. Waiting avoids a refusal that
+        // would show callers a crash that affected only other requests.
+        while (!server && any_server_available() && !parts_.poison.reserved().empty() &&
                !reason_to_stop())
         {
             std::this_thread::sleep_for(parts_.options.solo_pause);
-            server = claim_server();
+            server = begin_on_shared_server();
         }
         if (!server)
         {
-            return give_up_without_server();
+            return refuse_without_server();
         }
         run_on(*server);
         return true;
     }
 
-    /// A server may be kept free for a suspect between the choice and the count; the
-    /// suspect waits for the count to fall, so one of the two always sees the other.
-    std::optional<backend_server> claim_server()
+    /// Chooses a server and counts this call on it. A peer or another thread may reserve
+    /// the server in between. The call is counted before it checks for a reservation, and
+    /// a suspect waits for the count to fall, so at least one of the two sees the other.
+    std::optional<backend_server> begin_on_shared_server()
     {
         auto server = route();
         while (server)
@@ -154,12 +158,13 @@
     std::optional<backend_server> route()
     {
         span_scope span(parts_.spans, request_.trace, request_.request_id, "route");
-        auto       decision = decide(gone_, flawed_);
-        if (!decision.chosen && !flawed_.empty())
+        auto       decision = decide(excluded_servers_, failed_servers_);
+        if (!decision.chosen && !failed_servers_.empty())
         {
-            // Nothing else is left: a server that answered badly is better than none.
-            flawed_.clear();
-            decision = decide(gone_, flawed_);
+            // No other server is left; one whose earlier attempt failed is better than
+            // none.
+            failed_servers_.clear();
+            decision = decide(excluded_servers_, failed_servers_);
         }
         std::string candidates;
         for (auto const& candidate : decision.candidates)
@@ -172,9 +177,9 @@
     }
 
     route_decision decide(std::vector<std::string>        excluded,
-                          std::vector<std::string> const& also) const
+                          std::vector<std::string> const& failed) const
     {
-        excluded.insert(excluded.end(), also.begin(), also.end());
+        excluded.insert(excluded.end(), failed.begin(), failed.end());
         auto const reserved = parts_.poison.reserved();
         excluded.insert(excluded.end(), reserved.begin(), reserved.end());
         route_request const wanted{.group = request_.group,
@@ -187,41 +192,41 @@
 
     // 2. Suspects
 
-    /// Keeps a server free, waits until nothing else runs on it, and runs there. The wait
-    /// ends with the deadline.
-    bool run_alone()
+    /// Reserves a server, waits until nothing else runs on it, and runs there. The wait
+    /// ends at the deadline.
+    bool run_on_reserved_server()
     {
         while (true)
         {
             if (auto const cause = reason_to_stop())
             {
-                return give_up(*cause);
+                return end_refused(*cause);
             }
             auto const verdict = parts_.poison.evaluate(request_.content);
             if (verdict == poison_verdict::blocked)
             {
-                return give_up(refusal_cause::poison);
+                return end_refused(refusal_cause::poison);
             }
             if (verdict == poison_verdict::allowed)
             {
-                return run_among_others();
+                return run_on_shared_server();
             }
-            if (!any_server_left())
+            if (!any_server_available())
             {
-                return give_up_without_server();
+                return refuse_without_server();
             }
-            auto const server = route_alone();
+            auto const server = reserve_server();
             if (!server)
             {
                 std::this_thread::sleep_for(parts_.options.solo_pause);
                 continue;
             }
-            auto const waited =
-                solo_wait<Backend>(parts_, *server).run([&] { return need_not_wait(); });
+            auto const waited = solo_wait<Backend>(parts_, *server)
+                                    .run([&] { return should_stop_waiting(); });
             bool const empty = waited == solo_wait_end::empty;
-            if (waited == solo_wait_end::gone)
+            if (waited == solo_wait_end::unavailable)
             {
-                gone_.push_back(server->id);
+                excluded_servers_.push_back(server->id);
             }
             if (empty)
             {
@@ -236,33 +241,34 @@
         }
     }
 
-    bool need_not_wait() const
+    bool should_stop_waiting() const
     {
         return reason_to_stop() ||
                parts_.poison.evaluate(request_.content) != poison_verdict::suspect;
     }
 
-    /// True if some server, kept free for another suspect or not, may still be tried.
-    bool any_server_left() const
+    /// True if some server, reserved for another suspect or not, may still be tried.
+    bool any_server_available() const
     {
         auto const views = parts_.directory.group(request_.group);
-        return std::any_of(views.begin(), views.end(),
-                           [&](server_view const& view)
-                           {
-                               return !view.server.leaving &&
-                                      std::find(gone_.begin(), gone_.end(),
-                                                view.server.id) == gone_.end();
-                           });
+        return std::any_of(
+            views.begin(), views.end(),
+            [&](server_view const& view)
+            {
+                return !view.server.leaving &&
+                       std::find(excluded_servers_.begin(), excluded_servers_.end(),
+                                 view.server.id) == excluded_servers_.end();
+            });
     }
 
-    std::optional<backend_server> route_alone()
+    std::optional<backend_server> reserve_server()
     {
         std::set<std::string> group;
         for (auto const& view : parts_.directory.group(request_.group))
         {
             group.insert(view.server.id);
         }
-        auto const chosen = decide(gone_, {}).chosen;
+        auto const chosen = decide(excluded_servers_, {}).chosen;
         bool const kept =
             chosen && parts_.poison.reserve(chosen->id, group, request_.deadline);
         return kept ? chosen : std::nullopt;
@@ -270,7 +276,8 @@
 
     // 3. One attempt
 
-    /// The place on the server was counted by the caller of this function.
+    /// Sends one attempt. The caller of this function has already counted it in the
+    /// directory.
     void run_on(backend_server const& server)
     {
         span_scope span(parts_.spans, request_.trace, request_.request_id, "dispatch");
@@ -290,11 +297,11 @@
         auto const outcome = exchange(server, call);
         stream_.on_abandon({});
         parts_.directory.first_token(server, request_.prompt_tokens);
-        parts_.directory.end(server, sequencer_.whole() || stream_.abandoned());
-        settle(server, call, outcome);
-        span.note("dispatch.outcome", sequencer_.whole() ? "whole"
-                                      : outcome          ? name_of(outcome->fault)
-                                                         : "no_end_marker");
+        parts_.directory.end(server, sequencer_.is_complete() || stream_.abandoned());
+        record_attempt(server, call, outcome);
+        span.note("dispatch.outcome", sequencer_.is_complete() ? "whole"
+                                      : outcome                ? name_of(outcome->fault)
+                                                               : "no_end_marker");
     }
 
     static void cancel(model_parts<Backend>& parts, backend_server const& server,
@@ -305,7 +312,7 @@
                            { parts.backend.cancel(server, id, attempt); });
     }
 
-    /// The failure, or nothing if the stream ended in good order.
+    /// Returns the failure, or nothing if the stream ended in order.
     std::optional<transport_failure> exchange(backend_server const& server,
                                               engine_call const&    call)
     {
@@ -330,10 +337,11 @@
     event_verdict take(backend_server const& server, engine_call const& call,
                        stream_event const& event)
     {
-        if (!key_stopped_ && key_stops())
+        if (!stopped_for_key_ && key_stops_call())
         {
-            // The engine ends the stream with its own count, which is what is billed.
-            key_stopped_ = true;
+            // The engine ends the cancelled stream with its own token count, which is
+            // billed.
+            stopped_for_key_ = true;
             cancel(parts_, server, call);
         }
         auto const taken = sequencer_.take(event);
@@ -349,19 +357,21 @@
         }
         for (auto const& token : taken.tokens)
         {
-            if (!key_stopped_)
+            if (!stopped_for_key_)
             {
                 stream_.push(token);
             }
         }
-        return sequencer_.whole() ? event_verdict::complete : event_verdict::progress;
+        return sequencer_.is_complete() ? event_verdict::complete
+                                        : event_verdict::progress;
     }
 
-    void settle(backend_server const& server, engine_call const& call,
-                std::optional<transport_failure> const& failure)
+    void record_attempt(backend_server const& server, engine_call const& call,
+                        std::optional<transport_failure> const& failure)
     {
-        // Tokens were held back once the key stopped, so the answer is not whole.
-        if (sequencer_.whole() && !key_stopped_)
+        // Once the key stopped the call, tokens were withheld, so the response is not
+        // complete.
+        if (sequencer_.is_complete() && !stopped_for_key_)
         {
             state_ = state_.after(request_step::finish);
             parts_.poison.record_completion(request_.content,
@@ -370,44 +380,47 @@
         }
         if (failure && failure->fault == transport_fault::not_connected)
         {
-            // No byte was sent: neither a retry nor a doubt.
+            // No byte was sent, so this neither counts as a retry nor makes the outcome
+            // unknown.
             state_ = state_.after(request_step::nothing_sent);
-            gone_.push_back(server.id);
+            excluded_servers_.push_back(server.id);
             return;
         }
         state_ = state_.after(request_step::attempt_lost);
-        ++tries_;
+        ++sent_attempts_;
         if (failure && failure->fault == transport_fault::refused)
         {
-            // The engine's plain refusal, as in a change of role: it works, elsewhere.
-            gone_.push_back(server.id);
+            // The engine refused explicitly, for example during a role change. It has not
+            // crashed, so another server is tried.
+            excluded_servers_.push_back(server.id);
             return;
         }
-        settle_broken(server, call, failure);
+        record_failed_attempt(server, call, failure);
     }
 
-    void settle_broken(backend_server const& server, engine_call const& call,
-                       std::optional<transport_failure> const& failure)
+    void record_failed_attempt(backend_server const& server, engine_call const& call,
+                               std::optional<transport_failure> const& failure)
     {
         bool const broken = failure && failure->fault == transport_fault::answer_lost;
-        if (broken && crashed(server))
+        if (broken && has_crashed(server))
         {
             parts_.counters.add("suspects_total");
             parts_.poison.note_crash(server.id, request_.content,
                                      call.request_id + "/" +
                                          std::to_string(call.attempt));
-            gone_.push_back(server.id);
+            excluded_servers_.push_back(server.id);
             return;
         }
-        flawed_.push_back(server.id);
+        failed_servers_.push_back(server.id);
         if (failure && failure->fault == transport_fault::silent)
         {
             cancel(parts_, server, call);
         }
     }
 
-    /// A connection that broke is a crash if the server takes no new one either.
-    bool crashed(backend_server const& server)
+    /// A broken connection counts as a crash only if the server accepts no new connection
+    /// either.
+    bool has_crashed(backend_server const& server)
     {
         return leaf::try_handle_all(
             [&]() -> leaf::result<bool>
@@ -425,30 +438,32 @@
 
     // 4. The end
 
-    answer_end end() const
+    response_end end() const
     {
-        auto const prompt = sequencer_.end() ? sequencer_.end()->prompt_tokens : 0;
-        answer_end result{std::nullopt, prompt, sequencer_.next()};
+        auto const   prompt = sequencer_.end() ? sequencer_.end()->prompt_tokens : 0;
+        response_end result{std::nullopt, prompt, sequencer_.next()};
         if (state_.phase() != request_phase::finished)
         {
             bool const withdrawn = cause_ == refusal_cause::key_withdrawn;
-            bool const for_good = cause_ == refusal_cause::poison ||
-                                  (withdrawn && state_.fate() != call_fate::not_run);
+            bool const permanent = cause_ == refusal_cause::poison ||
+                                   (withdrawn && state_.fate() != call_fate::not_run);
             result.refused =
-                refusal{cause_, for_good ? call_fate::final_refusal : state_.fate(),
-                        for_good || withdrawn ? retry_never_s : retry_after_s};
+                refusal{cause_, permanent ? call_fate::final_refusal : state_.fate(),
+                        permanent || withdrawn ? retry_never_s : retry_after_s};
         }
         return result;
     }
 
-    /// Billed is what the engine says it ran; without its word, what the caller was sent.
+    /// Bills the token count that the engine reported. Without a report, bills the tokens
+    /// that were passed on to the caller.
     void record_usage()
     {
-        auto const& counted = sequencer_.end();
-        bool const  trusted = counted && (counted->cancelled || sequencer_.whole());
-        auto const  output = trusted ? std::max(counted->output_tokens, sequencer_.next())
-                                     : sequencer_.next();
-        if (output == 0 && !counted)
+        auto const& reported = sequencer_.end();
+        bool const  trusted =
+            reported && (reported->cancelled || sequencer_.is_complete());
+        auto const output = trusted ? std::max(reported->output_tokens, sequencer_.next())
+                                    : sequencer_.next();
+        if (output == 0 && !reported)
         {
             return;
         }
@@ -456,23 +471,23 @@
         delta.set_request_id(request_.request_id);
         delta.set_workspace(request_.workspace);
         delta.set_model(request_.model);
-        delta.set_prompt_tokens(counted ? counted->prompt_tokens : 0);
+        delta.set_prompt_tokens(reported ? reported->prompt_tokens : 0);
         delta.set_output_tokens(output);
         delta.set_calls(1);
         parts_.usage(std::move(delta));
     }
 
-    model_parts<Backend>&    parts_;
-    model_request const&     request_;
-    answer_stream&           stream_;
-    token_sequencer          sequencer_;
-    request_state            state_;
-    refusal_cause            cause_ = refusal_cause::no_backend_server;
-    std::uint64_t            attempt_ = 0; // attempts made, also those never connected
-    std::int64_t             tries_ = 0;   // attempts that may have reached a server
-    bool                     key_stopped_ = false; // cancelled for its key
-    std::vector<std::string> gone_;                // servers not to be tried again
-    std::vector<std::string> flawed_; // servers to be tried again if none is left
+    model_parts<Backend>& parts_;
+    model_request const&  request_;
+    answer_stream&        stream_;
+    token_sequencer       sequencer_;
+    request_state         state_;
+    refusal_cause         cause_ = refusal_cause::no_backend_server;
+    std::uint64_t attempt_ = 0; // all attempts, including those that never connected
+    std::int64_t  sent_attempts_ = 0;           // attempts that may have reached a server
+    bool          stopped_for_key_ = false;     // cancelled because of its key
+    std::vector<std::string> excluded_servers_; // not to be tried again
+    std::vector<std::string> failed_servers_;   // to be tried again if no other is left
 };
 
 } // namespace marigoldcrank
--- a/src/app/option_text.cpp
+++ b/src/app/option_text.cpp
@@ -1,4 +1,4 @@
-// Texts about settings and rules.
+// Formats failures of settings and rules.
 #include "app/option_text.hpp"
 
 namespace marigoldcrank
--- a/src/app/option_text.hpp
+++ b/src/app/option_text.hpp
@@ -1,4 +1,4 @@
-// Texts about settings that both programs print.
+// Formats failures of settings and rules for the operator; used by both programs.
 //
 // Index: format_failure
 #ifndef MARIGOLDCRANK_APP_OPTION_TEXT_HPP
@@ -11,10 +11,10 @@
 namespace marigoldcrank
 {
 
-/// One line for a person: file, section, key, fault, what is allowed.
+/// Formats one line: file, section, key, fault and the allowed values.
 std::string format_failure(setting_failure const& failure);
 
-/// One line for a person: file, line, rule, fault, what is allowed.
+/// Formats one line: file, line, rule, fault and the allowed values.
 std::string format_failure(rule_failure const& failure);
 
 } // namespace marigoldcrank
--- a/src/app/poison_guard.cpp
+++ b/src/app/poison_guard.cpp
@@ -1,4 +1,4 @@
-// Suspected requests of all entry VMs, and the servers kept free for them.
+// Shares suspected requests and server reservations among all entry VMs.
 #include "app/poison_guard.hpp"
 
 #include "wire.pb.h"
@@ -10,8 +10,8 @@
 
 namespace
 {
-constexpr millis longest_reservation{600'000}; // that a peer may ask for
-constexpr int    told_beats = 20;              // of a new incarnation
+constexpr millis max_reservation{600'000}; // ms; longest reservation accepted from a peer
+constexpr int    announced_heartbeats = 20; // per peer incarnation
 
 void fill(wire::poison_suspect& suspect, std::string const& content,
           poison_entry const& entry)
@@ -45,8 +45,9 @@
         std::lock_guard const lock(mutex_);
         auto const            now = boot_clock::now();
         list_.note(content, crash, now);
-        // Without this every stream of a reclaimed zone would wait for a server of its
-        // own, and most would wait beyond their deadline.
+        // When a data centre is reclaimed, many servers fail at once. Without this excuse
+        // every stream of theirs would wait for a server of its own, and most beyond
+        // their deadline.
         for (auto const& excused : losses_.note(server, content, now))
         {
             list_.excuse(excused);
@@ -61,30 +62,30 @@
     list_.record_completion(content, alone);
 }
 
-void poison_guard::take(wire::poison_suspect const& news)
+void poison_guard::take(wire::poison_suspect const& update)
 {
     std::lock_guard const lock(mutex_);
-    for (auto const& crash : news.crash_ids())
+    for (auto const& crash : update.crash_ids())
     {
-        list_.note(news.content_hash(), crash, boot_clock::now());
+        list_.note(update.content_hash(), crash, boot_clock::now());
     }
 }
 
-void poison_guard::take(std::string const& peer, wire::solo_run const& news)
+void poison_guard::take(std::string const& peer, wire::solo_run const& update)
 {
-    auto const asked =
-        std::min<std::uint64_t>(news.for_ms(), longest_reservation.count());
+    auto const requested_ms =
+        std::min<std::uint64_t>(update.for_ms(), max_reservation.count());
     std::lock_guard const lock(mutex_);
-    auto&                 holders = reserved_[news.server()];
+    auto&                 holders = reserved_[update.server()];
     std::erase_if(holders, [&](reservation const& each) { return each.holder == peer; });
-    if (asked > 0)
+    if (requested_ms > 0)
     {
         holders.push_back(
-            {peer, boot_clock::now() + millis{static_cast<std::int64_t>(asked)}});
+            {peer, boot_clock::now() + millis{static_cast<std::int64_t>(requested_ms)}});
     }
     if (holders.empty())
     {
-        reserved_.erase(news.server());
+        reserved_.erase(update.server());
     }
 }
 
@@ -93,16 +94,16 @@
 {
     std::lock_guard const           lock(mutex_);
     std::vector<wire::peer_message> messages;
-    auto&                           known = heard_[peer];
+    auto&                           known = announcements_[peer];
     if (known.incarnation != incarnation)
     {
         known = {incarnation, 0};
     }
-    if (known.beats >= told_beats)
+    if (known.heartbeats >= announced_heartbeats)
     {
         return messages;
     }
-    ++known.beats;
+    ++known.heartbeats;
     for (auto const& [content, entry] : list_.entries())
     {
         fill(*messages.emplace_back().mutable_suspect(), content, entry);
@@ -116,7 +117,8 @@
     return list_.entries().size();
 }
 
-bool poison_guard::held(std::string const& server, boot_clock::time_point now) const
+bool poison_guard::is_reserved(std::string const&     server,
+                               boot_clock::time_point now) const
 {
     auto const found = reserved_.find(server);
     return found != reserved_.end() &&
@@ -130,17 +132,17 @@
     auto const now = boot_clock::now();
     {
         std::lock_guard const lock(mutex_);
-        auto const            kept =
-            std::count_if(group.begin(), group.end(),
-                          [&](std::string const& each) { return held(each, now); });
-        auto const most = std::max<std::ptrdiff_t>(1, std::ssize(group) / 2);
-        if (held(server, now) || kept >= most)
+        auto const            reserved_count = std::count_if(group.begin(), group.end(),
+                                                             [&](std::string const& each)
+                                                             { return is_reserved(each, now); });
+        auto const max_reserved = std::max<std::ptrdiff_t>(1, std::ssize(group) / 2);
+        if (is_reserved(server, now) || reserved_count >= max_reserved)
         {
             return false;
         }
         reserved_[server] = {{node_, until}};
     }
-    broadcast_solo(server, std::chrono::duration_cast<millis>(until - now));
+    broadcast_reservation(server, std::chrono::duration_cast<millis>(until - now));
     return true;
 }
 
@@ -156,7 +158,7 @@
             reserved_.erase(server);
         }
     }
-    broadcast_solo(server, millis{0});
+    broadcast_reservation(server, millis{0});
 }
 
 bool poison_guard::contested(std::string const& server) const
@@ -175,7 +177,7 @@
     std::set<std::string> servers;
     for (auto const& [server, holders] : reserved_)
     {
-        if (held(server, now))
+        if (is_reserved(server, now))
         {
             servers.insert(server);
         }
@@ -186,7 +188,7 @@
 bool poison_guard::reserved(std::string const& server) const
 {
     std::lock_guard const lock(mutex_);
-    return held(server, boot_clock::now());
+    return is_reserved(server, boot_clock::now());
 }
 
 void poison_guard::broadcast_suspect(std::string const& content) const
@@ -204,7 +206,7 @@
     broadcast_(message);
 }
 
-void poison_guard::broadcast_solo(std::string const& server, millis duration) const
+void poison_guard::broadcast_reservation(std::string const& server, millis duration) const
 {
     wire::peer_message message;
     message.mutable_solo()->set_server(server);
--- a/src/app/poison_guard.hpp
+++ b/src/app/poison_guard.hpp
@@ -1,6 +1,6 @@
-// Suspected requests of all entry VMs, and the servers kept free for them.
+// Shares suspected requests and server reservations among all entry VMs.
 //
-// Index: 1 poison_guard, 2 solo_place
+// Index: poison_guard
 #ifndef MARIGOLDCRANK_APP_POISON_GUARD_HPP
 #define MARIGOLDCRANK_APP_POISON_GUARD_HPP
 
@@ -24,11 +24,11 @@
 namespace marigoldcrank
 {
 
-/// Now and then one request crashes each server that runs it, and its caller sends it
-/// again, through another entry VM as well. Every request that was in flight on a crashed
-/// server is suspected, by the hash of its content; it runs again only alone on its
-/// server, so that a second crash names the guilty one and hits no other request. Safe to
-/// use from several threads.
+/// A request may crash each server that runs it, and its caller may send it again, also
+/// through another entry VM. After a crash, every request in flight on that server is
+/// suspected, identified by the hash of its content. A suspect runs again only alone on a
+/// reserved server, so that a second crash identifies the request that causes it and
+/// affects no other request. Thread-safe.
 class poison_guard
 {
 public:
@@ -38,36 +38,38 @@
 
     poison_verdict evaluate(std::string const& content) const;
 
-    /// A server crashed while it ran this content; `crash` is unique to the attempt.
+    /// Records that a server crashed while it ran this content; `crash` is unique per
+    /// attempt.
     void note_crash(std::string const& server, std::string const& content,
                     std::string const& crash);
 
-    /// The content ran to its end; `alone` if nothing else ran beside it.
+    /// Records that the content ran to its end; `alone` if nothing else ran on the
+    /// server.
     void record_completion(std::string const& content, bool alone);
 
-    /// News of a peer.
-    void take(wire::poison_suspect const& news);
-    void take(std::string const& peer, wire::solo_run const& news);
+    /// Merges an update of a peer.
+    void take(wire::poison_suspect const& update);
+    void take(std::string const& peer, wire::solo_run const& update);
 
-    /// What to tell a peer at its heartbeat: all that is suspected during the first
-    /// heartbeats of each incarnation, since messages to a process that has just started
-    /// may be lost; nothing afterwards.
+    /// Messages to send to a peer at its heartbeat: all suspects during the first
+    /// heartbeats of each incarnation, because messages to a process that has just
+    /// started may be lost; none afterwards.
     std::vector<wire::peer_message> news_for(std::string const& peer,
                                              std::string const& incarnation);
 
-    /// Contents suspected at present.
+    /// Number of suspected contents.
     std::uint64_t suspects() const;
 
-    /// Keeps a server free for one suspect, until `release` or the time is up. False if
-    /// it or half of its group is kept already.
+    /// Reserves a server for one suspect until `release` or `until`. Returns false if the
+    /// server, or half of its group, is already reserved.
     bool reserve(std::string const& server, std::set<std::string> const& group,
                  boot_clock::time_point until);
     void release(std::string const& server);
 
-    /// True if a peer with precedence wants the server for a suspect of its own.
+    /// True if a peer with precedence (a smaller VM name) has reserved the server too.
     bool contested(std::string const& server) const;
 
-    /// Servers that get no other work at present.
+    /// Servers that must not receive other requests at present.
     std::set<std::string> reserved() const;
     bool                  reserved(std::string const& server) const;
 
@@ -78,24 +80,24 @@
         boot_clock::time_point until{};
     };
 
-    /// How many heartbeats of an incarnation were heard.
-    struct newcomer
+    /// Number of heartbeats received from an incarnation of a peer.
+    struct announcement
     {
         std::string incarnation;
-        int         beats = 0;
+        int         heartbeats = 0;
     };
 
     void broadcast_suspect(std::string const& content) const;
-    void broadcast_solo(std::string const& server, millis duration) const;
-    bool held(std::string const& server, boot_clock::time_point now) const;
+    void broadcast_reservation(std::string const& server, millis duration) const;
+    bool is_reserved(std::string const& server, boot_clock::time_point now) const;
 
     std::string                                     node_;
     broadcaster                                     broadcast_;
     mutable std::mutex                              mutex_;
     poison_list                                     list_;
     mass_loss                                       losses_;
-    std::map<std::string, std::vector<reservation>> reserved_; // by server
-    std::map<std::string, newcomer>                 heard_;    // by peer
+    std::map<std::string, std::vector<reservation>> reserved_;      // by server
+    std::map<std::string, announcement>             announcements_; // by peer
 };
 
 } // namespace marigoldcrank
--- a/src/app/report_page.cpp
+++ b/src/app/report_page.cpp
@@ -1,4 +1,4 @@
-// Plots as inline SVG.
+// HTML report with plots as inline SVG.
 #include "app/report_page.hpp"
 
 #include <algorithm>
@@ -23,25 +23,25 @@
 std::vector<plot> const& plots()
 {
     static std::vector<plot> const table{
-        {"Goodput: requests asked for, and those that met their targets, a second",
+        {"Goodput: requests offered, and requests that met their targets, per second",
          {"offered", "good"}},
         {"Worst-served workspace: share of its requests that met their targets",
          {"worst"}},
-        {"Spending against service: paid servers by price, engines kept busy by demand",
+        {"Spending: paid servers by price, and engines that the demand keeps busy",
          {"dear", "cheap", "need"}},
-        {"Roles: engines used for prompts, role changes", {"prefill", "changes"}},
-        {"Refusals a second", {"refused"}}};
+        {"Roles: engines used for prefill, role changes", {"prefill", "changes"}},
+        {"Refusals per second", {"refused"}}};
     return table;
 }
 
 std::string escaped(std::string const& text)
 {
     std::string result;
-    for (char const letter : text)
+    for (char const character : text)
     {
-        result += letter == '<'   ? "&lt;"
-                  : letter == '&' ? "&amp;"
-                                  : std::string(1, letter);
+        result += character == '<'   ? "&lt;"
+                  : character == '&' ? "&amp;"
+                                     : std::string(1, character);
     }
     return result;
 }
@@ -52,10 +52,10 @@
     return static_cast<std::size_t>(found - series.columns.begin());
 }
 
-double highest(report_series const& series, plot const& which)
+double highest(report_series const& series, plot const& spec)
 {
     double top = 1e-9;
-    for (auto const& name : which.columns)
+    for (auto const& name : spec.columns)
     {
         auto const column = column_of(series, name);
         for (auto const& row : series.rows)
@@ -82,25 +82,25 @@
     return out.str();
 }
 
-std::string format_plot(report_series const& series, plot const& which)
+std::string format_plot(report_series const& series, plot const& spec)
 {
     static constexpr std::array colours{"#1f6f8b", "#c8553d", "#588b3c"};
-    auto const                  top = highest(series, which);
+    auto const                  top = highest(series, spec);
     std::ostringstream          out;
-    out << "<h2>" << which.title << "</h2>\n<svg viewBox='0 0 " << width << " " << height
+    out << "<h2>" << spec.title << "</h2>\n<svg viewBox='0 0 " << width << " " << height
         << "' role='img'><line x1='" << margin << "' y1='" << height - margin << "' x2='"
         << width - margin << "' y2='" << height - margin
         << "' stroke='#999'/><text x='0' y='" << margin << "' font-size='12'>" << top
         << "</text>";
-    for (std::size_t index = 0; index < which.columns.size(); ++index)
+    for (std::size_t index = 0; index < spec.columns.size(); ++index)
     {
-        auto const  column = column_of(series, which.columns[index]);
+        auto const  column = column_of(series, spec.columns[index]);
         auto const* colour = colours.at(index % colours.size());
         if (column < series.columns.size())
         {
             out << line_of(series, column, top, colour) << "<text x='"
                 << margin + 120.0 * static_cast<double>(index) << "' y='" << height - 8
-                << "' font-size='13' fill='" << colour << "'>" << which.columns[index]
+                << "' font-size='13' fill='" << colour << "'>" << spec.columns[index]
                 << "</text>";
         }
     }
@@ -160,9 +160,9 @@
         << "</title><style>body{font:15px sans-serif;max-width:920px;margin:2em auto}"
            "h2{font-size:15px}td{padding:2px 12px}</style></head><body>\n<h1>"
         << escaped(series.title) << "</h1>\n";
-    for (auto const& which : plots())
+    for (auto const& spec : plots())
     {
-        out << format_plot(series, which);
+        out << format_plot(series, spec);
     }
     out << "<h2>Refusals by cause</h2>\n<table>";
     for (auto const& [cause, count] : series.refused)
--- a/src/app/report_page.hpp
+++ b/src/app/report_page.hpp
@@ -1,4 +1,4 @@
-// One HTML page with plots of a replay.
+// HTML page with plots of a replay.
 //
 // Index: 1 report_series, 2 parse_series, 3 format_report
 #ifndef MARIGOLDCRANK_APP_REPORT_PAGE_HPP
@@ -14,7 +14,7 @@
 namespace marigoldcrank
 {
 
-/// A table over time, a column a measure, and refusals by cause.
+/// Measures over time, one column per measure, and the number of refusals per cause.
 struct report_series
 {
     std::string                         title;
@@ -25,11 +25,12 @@
     bool operator==(report_series const&) const = default;
 };
 
-/// Reads what `replay --series` writes: `title TEXT`, `refused CAUSE COUNT`, `columns
-/// NAME...`, then one line of numbers a row. Fails with message_failure.
+/// Parses the output of `replay --series`: `title TEXT`, `refused CAUSE COUNT`, `columns
+/// NAME...`, then one line of numbers per row. Fails with message_failure.
 leaf::result<report_series> parse_series(std::string const& text);
 
-/// The page: one plot for each group of columns, and the refusals. No script, no network.
+/// Formats the page: one plot per group of columns, and a table of the refusals. The page
+/// uses no scripts and loads no other resources.
 std::string format_report(report_series const& series);
 
 } // namespace marigoldcrank
--- a/src/app/request_path.hpp
+++ b/src/app/request_path.hpp
@@ -1,4 +1,4 @@
-// Starts model calls on threads of their own.
+// Starts model calls on worker threads.
 //
 // Index: request_path
 #ifndef MARIGOLDCRANK_APP_REQUEST_PATH_HPP
@@ -11,7 +11,7 @@
 namespace marigoldcrank
 {
 
-/// One object serves all model calls of the process; safe to use from several threads.
+/// Serves all model calls of the process. Thread-safe.
 template <backend_port Backend>
 class request_path
 {
@@ -29,13 +29,14 @@
     {
     }
 
-    /// Asked before each dispatch and with each token; set before the first request.
+    /// Sets the check of key states, which runs before each dispatch and with each token.
+    /// Call before the first request.
     void watch_keys(std::function<key_state(std::string const&)> const& check)
     {
         parts_.keys = check;
     }
 
-    /// Starts a model call; tokens and end arrive on the stream.
+    /// Starts a model call; its tokens and its end arrive on the returned stream.
     std::shared_ptr<answer_stream> start(model_request request)
     {
         auto stream = std::make_shared<answer_stream>();
--- a/src/app/request_state.hpp
+++ b/src/app/request_state.hpp
@@ -1,10 +1,10 @@
-// The state machine of one request, as a value.
+// State machine of one request, as an immutable value.
 //
 // Index: 1 request_phase, 2 request_step, 3 request_state
 //
-// A caller that is told `not_run` sends again. That is safe only if no byte of the call
-// reached a backend server, nor can any more; so the claim is derived from the steps that
-// the request has taken and can't be made in any other way.
+// A caller that receives `not_run` sends the request again. That is safe only if no byte
+// of the request reached a backend server or still can. The claim is therefore derived
+// only from the steps that the request has taken.
 #ifndef MARIGOLDCRANK_APP_REQUEST_STATE_HPP
 #define MARIGOLDCRANK_APP_REQUEST_STATE_HPP
 
@@ -13,30 +13,30 @@
 namespace marigoldcrank
 {
 
-/// Where a request stands.
+/// Phases of a request.
 enum class request_phase
 {
     admitted,   // its key was accepted
     queued,     // waits for a backend server
-    dispatched, // an attempt is under way, no token yet
-    streaming,  // an attempt is under way and gave a token
-    finished,   // answered whole
+    dispatched, // an attempt is in progress, without a token yet
+    streaming,  // an attempt is in progress and has produced a token
+    finished,   // the response is complete
     refused
 };
 
 /// What can happen to a request.
 enum class request_step
 {
-    queue,        // looks for a backend server
+    queue,        // starts to look for a backend server
     dispatch,     // an attempt begins
-    first_token,  // the attempt gave a token
-    nothing_sent, // the attempt ended and provably no byte was sent
-    attempt_lost, // the attempt ended in any other way without a whole answer
-    finish,       // answered whole
-    refuse        // given up
+    first_token,  // the attempt produced its first token
+    nothing_sent, // the attempt ended, and provably no byte was sent
+    attempt_lost, // the attempt ended otherwise without a complete response
+    finish,       // the response is complete
+    refuse        // the request ends with a refusal
 };
 
-/// Immutable; a step gives a new state.
+/// Immutable; each step returns a new state.
 class request_state
 {
 public:
@@ -52,7 +52,7 @@
 
     bool allows(request_step step) const noexcept
     {
-        bool const attempted =
+        bool const attempt_in_progress =
             phase_ == request_phase::dispatched || phase_ == request_phase::streaming;
         switch (step)
         {
@@ -65,14 +65,14 @@
             return phase_ == request_phase::dispatched;
         case request_step::attempt_lost:
         case request_step::finish:
-            return attempted;
+            return attempt_in_progress;
         case request_step::refuse:
             return !over();
         }
         return false;
     }
 
-    /// The state after a step; the same state if the step is not allowed.
+    /// Returns the state after a step, or an unchanged copy if the step is not allowed.
     [[nodiscard]] request_state after(request_step step) const noexcept
     {
         if (!allows(step))
@@ -81,21 +81,23 @@
         }
         auto next = *this;
         next.phase_ = phase_after(step);
-        // An attempt that is under way may have sent a byte; only its proven failure to
-        // do so takes the doubt away.
-        bool const attempted =
+        // An attempt in progress may have sent bytes. Only proof that it sent none keeps
+        // the outcome known.
+        bool const attempt_in_progress =
             phase_ == request_phase::dispatched || phase_ == request_phase::streaming;
-        next.exposed_ = exposed_ || (attempted && step != request_step::first_token &&
-                                     step != request_step::nothing_sent);
+        next.may_have_sent_ =
+            may_have_sent_ || (attempt_in_progress && step != request_step::first_token &&
+                               step != request_step::nothing_sent);
         return next;
     }
 
-    /// What a refusal may say. While an attempt is under way its outcome is unknown.
+    /// The fate that a refusal may report. It is unknown while an attempt is in progress.
     call_fate fate() const noexcept
     {
-        bool const attempted =
+        bool const attempt_in_progress =
             phase_ == request_phase::dispatched || phase_ == request_phase::streaming;
-        return exposed_ || attempted ? call_fate::outcome_unknown : call_fate::not_run;
+        return may_have_sent_ || attempt_in_progress ? call_fate::outcome_unknown
+                                                     : call_fate::not_run;
     }
 
     bool operator==(request_state const&) const = default;
@@ -119,7 +121,7 @@
     }
 
     request_phase phase_ = request_phase::admitted;
-    bool          exposed_ = false; // a byte may have reached a backend server
+    bool          may_have_sent_ = false; // a byte may have reached a backend server
 };
 
 } // namespace marigoldcrank
--- a/src/app/server_directory.cpp
+++ b/src/app/server_directory.cpp
@@ -1,4 +1,4 @@
-// What this entry VM knows of the backend servers.
+// Backend servers as this entry VM knows them.
 #include "app/server_directory.hpp"
 
 #include <algorithm>
@@ -37,7 +37,8 @@
 
 void server_directory::replace(std::vector<backend_server> const& servers)
 {
-    // By group too: a server that changed its group must not stay in the old one.
+    // The group is part of the key, so that a server that changed its group does not stay
+    // in the old one.
     std::set<std::pair<std::string, std::string>> listed;
     for (auto const& server : servers)
     {
--- a/src/app/server_directory.hpp
+++ b/src/app/server_directory.hpp
@@ -1,6 +1,6 @@
-// What this entry VM knows of the backend servers, in shards by group.
+// Backend servers as this entry VM knows them, in shards by group.
 //
-// Index: 1 server_directory, 2 server_lease (a place taken on a server)
+// Index: server_directory
 #ifndef MARIGOLDCRANK_APP_SERVER_DIRECTORY_HPP
 #define MARIGOLDCRANK_APP_SERVER_DIRECTORY_HPP
 
@@ -19,41 +19,42 @@
 namespace marigoldcrank
 {
 
-/// Safe to use from several threads; each group's servers lie in one shard under its
-/// lock.
+/// Thread-safe; all servers of a group are in one shard, under the lock of that shard.
 class server_directory
 {
 public:
-    /// Takes the platform's list: new servers come in, missing ones go.
+    /// Replaces the list of servers by that of the platform: adds new ones, removes
+    /// missing ones and keeps what is known of the others.
     void replace(std::vector<backend_server> const& servers);
 
-    /// Takes a load report; unknown servers are ignored.
+    /// Stores a load report; reports of unknown servers are ignored.
     void report(backend_server const& server, load_report const& load);
 
-    /// Servers that routing leaves out because an open order will take them out of
-    /// service; all others are in again.
+    /// Sets the servers that routing skips because an open order will take them out of
+    /// service. All others become available again.
     void set_draining(std::set<std::string> const& servers);
 
-    /// A load report did not come.
+    /// Counts a load report that did not arrive.
     void missed_report(backend_server const& server);
 
-    /// Takes the operators' drains.
+    /// Sets the drains that operators have ordered.
     void set_drains(drain_list drains);
 
-    /// All servers of one group, as routing sees them: leaving is what the platform's
-    /// list, the server itself or an operator's drain says, whichever says so first. The
-    /// list lags, and a server that has been told to go may be gone before the list
-    /// tells.
+    /// All servers of one group, as routing uses them. A server is leaving as soon as the
+    /// list of the platform, the server itself or a drain by an operator says so: the
+    /// list lags, and a server that was ordered to stop may be gone before the list shows
+    /// it.
     std::vector<server_view> group(std::string const& name) const;
 
     /// All servers.
     std::vector<backend_server> all() const;
 
-    /// Requests that this entry VM has at servers.
+    /// Number of requests that this entry VM runs on all servers.
     std::int64_t own_running() const;
 
-    /// Own work counts at once: reports lag, and without this every request of a moment
-    /// goes to the server that was idle when it reported.
+    /// Count the calls of this entry VM as they start, give their first token and end.
+    /// Load reports lag; without these counts, all requests of a moment would go to the
+    /// server that was idle in its last report.
     void begin(backend_server const& server, std::int64_t prompt_tokens);
     void first_token(backend_server const& server, std::int64_t prompt_tokens);
     void end(backend_server const& server, bool succeeded);
--- a/src/app/server_poller.hpp
+++ b/src/app/server_poller.hpp
@@ -1,4 +1,5 @@
-// Reads the platform's list and the servers' load reports into the directory.
+// Polls the server list of the platform and the load reports of the servers into the
+// directory.
 //
 // Index: server_poller
 #ifndef MARIGOLDCRANK_APP_SERVER_POLLER_HPP
@@ -19,20 +20,20 @@
 namespace marigoldcrank
 {
 
-/// How often to read.
+/// Polling intervals.
 struct poll_options
 {
-    millis list_every{500}; // 500  between reads of the VM list, ms
-    millis load_every{200}; // 200  between reads of one server's load, ms
+    millis list_every{500}; // 500  ms; between reads of the VM list
+    millis load_every{200}; // 200  ms; between reads of one server's load
 
     bool operator==(poll_options const&) const = default;
 };
 
-/// The list, and each server's load, is read on its own: a server that is frozen holds up
-/// neither the reports of the others nor the list, and a platform that does not answer
-/// holds up no report. A server that misses is asked less and less often, so that many
-/// frozen ones leave readers for the rest. An old list is kept while the platform is out:
-/// serving goes on with the servers last seen.
+/// Reads the list and the load of each server independently: a frozen server delays
+/// neither the reports of others nor the list, and an unresponsive platform delays no
+/// report. A server that misses a report is polled less and less often, so that many
+/// frozen servers leave reader threads for the rest. If the platform fails, the directory
+/// keeps the servers last seen, and serving goes on.
 template <vm_list_port List, backend_port Backend>
 class server_poller
 {
@@ -64,13 +65,13 @@
 
 private:
     static constexpr std::size_t reader_count = 8;
-    static constexpr millis      longest_pause{1000};
-    static constexpr int         most_doublings = 8;
+    static constexpr millis      max_pause{1000};
+    static constexpr int         max_doublings = 8;
 
-    /// One server's reads: at most one at a time.
+    /// State of the reads of one server, of which at most one is in progress.
     struct read_state
     {
-        bool                   under_way = false;
+        bool                   in_progress = false;
         int                    misses = 0;
         boot_clock::time_point next{};
     };
@@ -83,7 +84,7 @@
                 [&]() -> leaf::result<void>
                 {
                     BOOST_LEAF_AUTO(servers, list_.backend_servers());
-                    // A VM that was bought and has not started has no address yet.
+                    // A VM that has been created but has not started has no address yet.
                     std::erase_if(servers, [](backend_server const& server)
                                   { return server.starting; });
                     directory_.replace(servers);
@@ -99,7 +100,7 @@
         while (!stopping_)
         {
             auto const servers = directory_.all();
-            forget_missing(servers);
+            erase_unlisted(servers);
             for (auto const& server : servers)
             {
                 if (begin_read(server, boot_clock::now()))
@@ -111,7 +112,7 @@
         }
     }
 
-    void forget_missing(std::vector<backend_server> const& servers)
+    void erase_unlisted(std::vector<backend_server> const& servers)
     {
         std::lock_guard const lock(mutex_);
         std::erase_if(reads_,
@@ -121,7 +122,7 @@
                           {
                               return server.id == entry.first;
                           };
-                          return !entry.second.under_way &&
+                          return !entry.second.in_progress &&
                                  std::none_of(servers.begin(), servers.end(), same);
                       });
     }
@@ -130,24 +131,24 @@
     {
         std::lock_guard const lock(mutex_);
         auto&                 state = reads_[server.id];
-        bool const            due = !state.under_way && now >= state.next;
-        state.under_way = state.under_way || due;
+        bool const            due = !state.in_progress && now >= state.next;
+        state.in_progress = state.in_progress || due;
         return due;
     }
 
-    void end_read(backend_server const& server, bool answered)
+    void end_read(backend_server const& server, bool succeeded)
     {
         std::lock_guard const lock(mutex_);
         auto&                 state = reads_[server.id];
-        state.under_way = false;
-        state.misses = answered ? 0 : std::min(state.misses + 1, most_doublings);
+        state.in_progress = false;
+        state.misses = succeeded ? 0 : std::min(state.misses + 1, max_doublings);
         auto const pause = options_.load_every * ((1 << state.misses) - 1);
-        state.next = boot_clock::now() + std::min(pause, longest_pause);
+        state.next = boot_clock::now() + std::min(pause, max_pause);
     }
 
     void read_load(backend_server const& server)
     {
-        bool const answered = leaf::try_handle_all(
+        bool const succeeded = leaf::try_handle_all(
             [&]() -> leaf::result<bool>
             {
                 BOOST_LEAF_AUTO(load, backend_.load(server));
@@ -155,11 +156,11 @@
                 return true;
             },
             [] { return false; });
-        if (!answered)
+        if (!succeeded)
         {
             directory_.missed_report(server);
         }
-        end_read(server, answered);
+        end_read(server, succeeded);
     }
 
     List&                             list_;
--- a/src/app/service_path.hpp
+++ b/src/app/service_path.hpp
@@ -1,4 +1,4 @@
-// The way of one call of a plain service: repeatable, or at most once.
+// Runs one call of a plain service, either repeatable or at most once.
 //
 // Index: 1 service_reply, 2 service_parts, 3 service_path: calls, 4 service_path: at most
 //        once, 5 service_path: attempts
@@ -20,17 +20,17 @@
 namespace marigoldcrank
 {
 
-/// An answer, and whether it is that of an earlier try under the same key.
+/// A response, and whether an earlier attempt with the same idempotency key produced it.
 struct service_reply
 {
     service_answer answer;
     bool           earlier = false;
-    bool           body_left_out = false; // of an earlier try: too large to be kept
+    bool           body_left_out = false; // the earlier body was too large to store
 
     bool operator==(service_reply const&) const = default;
 };
 
-/// What the service path of a process uses.
+/// References to the services that a service call uses.
 template <backend_port Backend, platform_log_port Log>
 struct service_parts
 {
@@ -45,7 +45,7 @@
     std::int64_t                                        max_attempts = 3;
 };
 
-/// Safe to use from several threads.
+/// Serves all service calls of the process. Thread-safe.
 template <backend_port Backend, platform_log_port Log>
 class service_path
 {
@@ -54,37 +54,38 @@
 
     // 3. Calls
 
-    /// Fails with refusal, whose fate tells whether the call may have run.
+    /// Runs the call. Fails with refusal, whose fate tells whether the call may have run.
     leaf::result<service_reply> call(service_request const& request)
     {
         if (request.once && !request.idempotency_key.empty())
         {
-            return call_by_key(request);
+            return call_with_key(request);
         }
-        auto const done = run(request);
-        if (!done.answer)
+        auto const ended = run(request);
+        if (!ended.answer)
         {
-            return leaf::new_error(done.refused);
+            return leaf::new_error(ended.refused);
         }
-        return service_reply{*done.answer};
+        return service_reply{*ended.answer};
     }
 
 private:
     static constexpr int retry_soon_s = 1;
     static constexpr int retry_later_s = 3600;
 
-    /// How the attempts of a call ended.
+    /// Result of all attempts of a call.
     struct run_end
     {
         std::optional<service_answer> answer;
-        refusal                       refused; // without an answer
+        refusal                       refused; // if there is no response
     };
 
     // 4. At most once
 
     static wire::call_intent intent_of(service_request const& request)
     {
-        // A newline is in no workspace's name, so no two pairs give the same text.
+        // A workspace's name contains no newline, so no two pairs of workspace and key
+        // give the same text.
         wire::call_intent intent;
         intent.set_key_hash(
             salted_hash(request.workspace + "\n", request.idempotency_key));
@@ -95,10 +96,10 @@
         return intent;
     }
 
-    leaf::result<service_reply> call_by_key(service_request const& request)
+    leaf::result<service_reply> call_with_key(service_request const& request)
     {
         auto const intent = intent_of(request);
-        auto const claim = claim_for(request, intent);
+        auto const claim = claim_key(request, intent);
         switch (claim.verdict)
         {
         case claim_verdict::granted:
@@ -127,7 +128,7 @@
         return leaf::new_error(refusal{cause, fate, retry_after});
     }
 
-    call_claim claim_for(service_request const& request, wire::call_intent const& intent)
+    call_claim claim_key(service_request const& request, wire::call_intent const& intent)
     {
         span_scope span(parts_.spans, request.trace, request.request_id, "claim");
         auto       claim = parts_.book.claim(intent);
@@ -138,17 +139,17 @@
     leaf::result<service_reply> run_claimed(service_request const&   request,
                                             wire::call_intent const& intent)
     {
-        auto const done = run(request);
-        if (done.answer)
+        auto const ended = run(request);
+        if (ended.answer)
         {
             wire::call_result result;
-            result.set_status(static_cast<std::uint32_t>(done.answer->status));
-            result.set_content_type(done.answer->content_type);
-            result.set_body(done.answer->body);
+            result.set_status(static_cast<std::uint32_t>(ended.answer->status));
+            result.set_content_type(ended.answer->content_type);
+            result.set_body(ended.answer->body);
             parts_.book.settle(intent, std::move(result));
-            return service_reply{*done.answer};
+            return service_reply{*ended.answer};
         }
-        if (done.refused.fate == call_fate::not_run)
+        if (ended.refused.fate == call_fate::not_run)
         {
             parts_.book.release(intent);
         }
@@ -156,34 +157,34 @@
         {
             parts_.book.settle(intent, {});
         }
-        return leaf::new_error(done.refused);
+        return leaf::new_error(ended.refused);
     }
 
     // 5. Attempts
 
-    /// A call that may not be repeated goes to a second server only if the first provably
-    /// got no byte of it.
+    /// Tries servers until one responds. A call that must not run twice is sent to a
+    /// second server only if the first provably received no byte of it.
     run_end run(service_request const& request)
     {
         request_state state = request_state{}.after(request_step::queue);
-        route_request wanted{.group = request.group,
-                             .data_centre = parts_.data_centre,
-                             .may_use_cheap = !request.once};
-        std::int64_t  tries = 0;
+        route_request criteria{.group = request.group,
+                               .data_centre = parts_.data_centre,
+                               .may_use_cheap = !request.once};
+        std::int64_t  sent_attempts = 0;
         auto          cause = refusal_cause::no_backend_server;
-        while (tries < (request.once ? 1 : parts_.max_attempts))
+        while (sent_attempts < (request.once ? 1 : parts_.max_attempts))
         {
             if (boot_clock::now() >= request.deadline)
             {
                 cause = refusal_cause::deadline;
                 break;
             }
-            if (key_stops(request, state))
+            if (key_stops_call(request, state))
             {
                 cause = refusal_cause::key_withdrawn;
                 break;
             }
-            auto const server = route(wanted, request);
+            auto const server = route(criteria, request);
             if (!server)
             {
                 break;
@@ -196,33 +197,34 @@
                 return {answer, {}};
             }
             cause = refusal_cause::backend_server_failed;
-            tries += state.fate() == call_fate::not_run ? 0 : 1;
-            wanted.excluded.push_back(server->id);
+            sent_attempts += state.fate() == call_fate::not_run ? 0 : 1;
+            criteria.excluded.push_back(server->id);
         }
         bool const withdrawn = cause == refusal_cause::key_withdrawn;
         return {std::nullopt,
                 {cause, state.fate(), withdrawn ? retry_later_s : retry_soon_s}};
     }
 
-    /// A withdrawn key stops what has not been sent; a compromised one every new attempt.
-    bool key_stops(service_request const& request, request_state const& state) const
+    /// True if the key ends this call: a withdrawn key while nothing can have been sent,
+    /// a compromised key before any new attempt.
+    bool key_stops_call(service_request const& request, request_state const& state) const
     {
         auto const key = parts_.keys ? parts_.keys(request.key_id) : key_state::good;
         return key == key_state::compromised ||
                (key == key_state::withdrawn && state.fate() == call_fate::not_run);
     }
 
-    std::optional<backend_server> route(route_request const&   wanted,
+    std::optional<backend_server> route(route_request const&   criteria,
                                         service_request const& request)
     {
         span_scope span(parts_.spans, request.trace, request.request_id, "route");
-        auto const decision = choose_server(parts_.directory.group(wanted.group), wanted,
-                                            boot_clock::now());
+        auto const decision = choose_server(parts_.directory.group(criteria.group),
+                                            criteria, boot_clock::now());
         span.note("route.chosen", decision.chosen ? decision.chosen->id : "none");
         return decision.chosen;
     }
 
-    /// Sends the call once and moves the state on.
+    /// Sends the call once and updates the state.
     std::optional<service_answer> dispatch(backend_server const&  server,
                                            service_request const& request,
                                            request_state&         state)
--- a/src/app/solo_wait.hpp
+++ b/src/app/solo_wait.hpp
@@ -1,4 +1,4 @@
-// Waits until a server that is kept free for a suspect runs nothing else.
+// Waits until a server that is reserved for a suspect runs nothing else.
 //
 // Index: 1 solo_wait_end, 2 solo_wait
 #ifndef MARIGOLDCRANK_APP_SOLO_WAIT_HPP
@@ -15,12 +15,12 @@
 /// How a wait ended.
 enum class solo_wait_end
 {
-    empty,    // the suspect may run there
-    gone,     // the server does not answer, or leaves
-    given_up, // the request stops, or a peer has precedence
+    empty,       // the suspect may run there
+    unavailable, // the server does not respond or is leaving
+    interrupted, // the request stops, or a peer has precedence
 };
 
-/// Used by one thread, for one server.
+/// Waits on one thread for one server.
 template <backend_port Backend>
 class solo_wait
 {
@@ -30,9 +30,10 @@
     {
     }
 
-    /// Empty is a server on which this entry VM runs nothing, and which itself has said
-    /// since the reservation that it runs nothing at all. It is asked directly: one that
-    /// fell before is still listed, and a wait for its report would last for ever.
+    /// A server is empty if this entry VM runs nothing on it and the server has itself
+    /// reported, since the reservation, that it runs nothing at all. The server is
+    /// queried directly: a crashed one stays in the directory for a while, and a wait for
+    /// its next report would never end.
     template <class Stop>
     solo_wait_end run(Stop&& stop)
     {
@@ -40,26 +41,26 @@
         std::this_thread::sleep_for(parts_.options.solo_settle);
         while (!stop() && !parts_.poison.contested(server_.id))
         {
-            auto const load = reported();
-            auto const view = seen();
+            auto const load = read_load();
+            auto const view = find_view();
             if (!load || !view || view->server.leaving)
             {
-                return solo_wait_end::gone;
+                return solo_wait_end::unavailable;
             }
-            auto const said_at =
+            auto const measured_at =
                 load->read_at - millis{static_cast<std::int64_t>(load->lag_ms)};
-            if (said_at >= reserved_at && load->running + load->waiting == 0 &&
+            if (measured_at >= reserved_at && load->running + load->waiting == 0 &&
                 view->own_running == 0)
             {
                 return solo_wait_end::empty;
             }
             std::this_thread::sleep_for(parts_.options.solo_pause);
         }
-        return solo_wait_end::given_up;
+        return solo_wait_end::interrupted;
     }
 
 private:
-    std::optional<load_report> reported()
+    std::optional<load_report> read_load()
     {
         return leaf::try_handle_all(
             [&]() -> leaf::result<std::optional<load_report>>
@@ -70,7 +71,7 @@
             [] { return std::optional<load_report>{}; });
     }
 
-    std::optional<server_view> seen() const
+    std::optional<server_view> find_view() const
     {
         for (auto const& view : parts_.directory.group(server_.group))
         {
--- a/src/app/target_ledger.cpp
+++ b/src/app/target_ledger.cpp
@@ -1,4 +1,4 @@
-// Evidence on service targets.
+// Latency samples of responses, and the evaluation of service targets.
 #include "app/target_ledger.hpp"
 
 #include <algorithm>
@@ -13,16 +13,16 @@
 {
     auto& own = shards_[std::hash<std::string>{}(sample.workspace) % shard_count];
     std::lock_guard const lock(own.mutex);
-    auto const            oldest = sample.at_ms - keep_ms;
+    auto const            oldest = sample.at_ms - retention_ms;
     own.samples.push_back(std::move(sample));
-    while (own.samples.size() > most_samples || own.samples.front().at_ms < oldest)
+    while (own.samples.size() > max_samples || own.samples.front().at_ms < oldest)
     {
         own.samples.pop_front();
     }
 }
 
-std::vector<target_verdict> target_ledger::judge(configuration const& config,
-                                                 std::int64_t         now_ms) const
+std::vector<target_verdict> target_ledger::evaluate(configuration const& config,
+                                                    std::int64_t         now_ms) const
 {
     std::vector<target_verdict> verdicts;
     for (auto const& [id, rule] : config.targets)
@@ -54,7 +54,7 @@
 nlohmann::json target_ledger::view(configuration const& config, std::int64_t now_ms) const
 {
     auto list = nlohmann::json::array();
-    for (auto const& verdict : judge(config, now_ms))
+    for (auto const& verdict : evaluate(config, now_ms))
     {
         list.push_back(to_json(verdict));
     }
@@ -63,16 +63,16 @@
 
 // 2. Timing
 
-answer_timing::answer_timing(target_ledger& ledger, span_store& spans,
-                             trace_context trace, std::string request_id,
-                             std::string workspace, boot_clock::time_point begun)
-    : ledger_(ledger), spans_(spans), trace_(std::move(trace)), begun_(begun)
+response_timing::response_timing(target_ledger& ledger, span_store& spans,
+                                 trace_context trace, std::string request_id,
+                                 std::string workspace, boot_clock::time_point started)
+    : ledger_(ledger), spans_(spans), trace_(std::move(trace)), started_(started)
 {
     sample_.request_id = std::move(request_id);
     sample_.workspace = std::move(workspace);
 }
 
-void answer_timing::take(answer_batch const& batch)
+void response_timing::take(answer_batch const& batch)
 {
     auto const now = boot_clock::now();
     auto const since = [&](boot_clock::time_point from)
@@ -81,11 +81,12 @@
     };
     if (!batch.tokens.empty() && sample_.first_token_ms < 0)
     {
-        sample_.first_token_ms = since(begun_);
+        sample_.first_token_ms = since(started_);
     }
     else if (!batch.tokens.empty())
     {
-        // Tokens that came together had one gap before them and none between.
+        // Tokens of one batch arrived together: one gap precedes them, with none between
+        // them.
         gaps_ms_.push_back(since(last_));
         gaps_ms_.insert(gaps_ms_.end(), batch.tokens.size() - 1, 0);
     }
@@ -96,25 +97,26 @@
     }
 }
 
-std::int64_t answer_timing::slowest_gap_ms()
+std::int64_t response_timing::p95_gap_ms()
 {
-    constexpr std::size_t share = 95;
-    constexpr std::size_t whole = 100;
+    constexpr std::size_t percentile = 95;
+    constexpr std::size_t percent_scale = 100;
     if (gaps_ms_.empty())
     {
         return 0;
     }
-    auto const at = std::min(gaps_ms_.size() - 1, gaps_ms_.size() * share / whole);
-    auto const place = gaps_ms_.begin() + static_cast<std::ptrdiff_t>(at);
-    std::nth_element(gaps_ms_.begin(), place, gaps_ms_.end());
-    return *place;
+    auto const index =
+        std::min(gaps_ms_.size() - 1, gaps_ms_.size() * percentile / percent_scale);
+    auto const nth = gaps_ms_.begin() + static_cast<std::ptrdiff_t>(index);
+    std::nth_element(gaps_ms_.begin(), nth, gaps_ms_.end());
+    return *nth;
 }
 
-void answer_timing::finish(std::string const& outcome)
+void response_timing::finish(std::string const& outcome)
 {
     finished_ = true;
     sample_.outcome = outcome;
-    sample_.between_tokens_ms = slowest_gap_ms();
+    sample_.between_tokens_ms = p95_gap_ms();
     sample_.at_ms = static_cast<std::int64_t>(unix_millis());
     span_scope span(spans_, trace_, sample_.request_id, "finish");
     span.note("marigoldcrank.workspace", sample_.workspace);
--- a/src/app/token_sequencer.hpp
+++ b/src/app/token_sequencer.hpp
@@ -1,4 +1,4 @@
-// Puts the events of an engine's stream in order and keeps foreign ones out.
+// Puts the events of an engine stream in order and drops events of other requests.
 //
 // Index: 1 engine_count, 2 token_sequencer
 #ifndef MARIGOLDCRANK_APP_TOKEN_SEQUENCER_HPP
@@ -16,28 +16,28 @@
 namespace marigoldcrank
 {
 
-/// What the engine says it did for the request, from its closing event.
+/// Token counts that the engine reports in its closing event.
 struct engine_count
 {
     std::uint64_t prompt_tokens = 0;
-    std::uint64_t output_tokens = 0; // of the whole answer, earlier attempts included
-    bool          cancelled = false; // the engine stopped because it was told to
+    std::uint64_t output_tokens = 0; // of the whole response, including earlier attempts
+    bool          cancelled = false; // the engine stopped because of a cancel request
 
     bool operator==(engine_count const&) const = default;
 };
 
-/// What became of one event.
+/// Result of one event.
 struct sequenced_event
 {
-    std::vector<std::string> tokens;          // now in order, each for the first time
-    bool                     dropped = false; // of another request or attempt, or seen
+    std::vector<std::string> tokens; // that are now in order, each returned once
+    bool dropped = false;            // of another request or attempt, or a duplicate
 
     bool operator==(sequenced_event const&) const = default;
 };
 
-/// One object for all attempts of one request. A confused engine or a crossed connection
-/// shows as events with another id, an earlier attempt or a wrong sequence: a caller must
-/// see each token of its own answer once and in order, whatever the engine sends.
+/// Covers all attempts of one request. A faulty engine or mixed-up connection sends
+/// events with another request id, an earlier attempt or a wrong sequence. Whatever the
+/// engine sends, the caller receives each token of its own response once and in order.
 class token_sequencer
 {
 public:
@@ -45,11 +45,12 @@
     {
     }
 
-    /// Tokens that came out of order belong to the attempt that sent them.
+    /// Starts an attempt. Tokens that arrived ahead of order in the previous attempt are
+    /// discarded.
     void begin_attempt(std::uint64_t attempt)
     {
         attempt_ = attempt;
-        ahead_.clear();
+        out_of_order_.clear();
         end_.reset();
     }
 
@@ -66,22 +67,23 @@
                 engine_count{event.prompt_tokens, event.output_tokens, event.cancelled});
             return {{}, !first};
         }
-        bool const seen = event.sequence < next_ || ahead_.size() >= most_ahead;
-        if (seen || !ahead_.emplace(event.sequence, event.text).second)
+        bool const duplicate =
+            event.sequence < next_ || out_of_order_.size() >= max_ahead;
+        if (duplicate || !out_of_order_.emplace(event.sequence, event.text).second)
         {
             return {{}, true};
         }
         return {release(), false};
     }
 
-    /// The first sequence that the caller has not seen.
+    /// The first sequence number that the caller has not received.
     std::uint64_t next() const noexcept
     {
         return next_;
     }
 
-    /// True if the end marker came and every token before it.
-    bool whole() const noexcept
+    /// True if the end marker and every token before it have arrived.
+    bool is_complete() const noexcept
     {
         return end_ && !end_->cancelled && end_->output_tokens == next_;
     }
@@ -92,15 +94,16 @@
     }
 
 private:
-    static constexpr std::size_t most_ahead = 256; // tokens held while one is missing
+    static constexpr std::size_t max_ahead =
+        256; // tokens buffered while an earlier one is missing
 
     std::vector<std::string> release()
     {
         std::vector<std::string> tokens;
-        while (!ahead_.empty() && ahead_.begin()->first == next_)
+        while (!out_of_order_.empty() && out_of_order_.begin()->first == next_)
         {
-            tokens.push_back(std::move(ahead_.begin()->second));
-            ahead_.erase(ahead_.begin());
+            tokens.push_back(std::move(out_of_order_.begin()->second));
+            out_of_order_.erase(out_of_order_.begin());
             ++next_;
         }
         return tokens;
@@ -109,7 +112,7 @@
     std::string                          request_id_;
     std::uint64_t                        attempt_ = 0;
     std::uint64_t                        next_ = 0;
-    std::map<std::uint64_t, std::string> ahead_;
+    std::map<std::uint64_t, std::string> out_of_order_;
     std::optional<engine_count>          end_;
 };
 
--- a/tests/concurrent/server_poller_test.cpp
+++ b/tests/concurrent/server_poller_test.cpp
@@ -1,4 +1,4 @@
-// The poller's threads before a list and servers that do not answer.
+// The poller must keep reading while one server is frozen and the list fails at times.
 #include "app/server_poller.hpp"
 #include "support/node_process.hpp"
 
@@ -22,7 +22,7 @@
         {
             servers.push_back({.id = id, .group = "wording"});
         }
-        // The list fails now and then; what was read before must stay.
+        // The list fails at times; the servers read before must stay.
         if (++reads % 3 == 0)
         {
             return leaf::new_error(transport_failure{});
@@ -33,7 +33,7 @@
 
 struct fake_backend
 {
-    std::atomic<bool> over{false};
+    std::atomic<bool> released{false};
     std::atomic<int>  frozen_reads{0};
     std::atomic<int>  good_reads{0};
 
@@ -45,7 +45,7 @@
             return load_report{.running = 7};
         }
         ++frozen_reads;
-        while (!over)
+        while (!released)
         {
             std::this_thread::sleep_for(millis{1});
         }
@@ -74,7 +74,7 @@
         tests::eventually([&] { return backend.good_reads > 100 && list.reads > 100; }));
     EXPECT_EQ(backend.frozen_reads, 1);
     EXPECT_EQ(directory.group("wording").size(), 3U);
-    backend.over = true;
+    backend.released = true;
     EXPECT_TRUE(tests::eventually([&] { return backend.frozen_reads > 2; }));
     for (auto const& view : directory.group("wording"))
     {
--- a/tests/property/not_run_property_test.cpp
+++ b/tests/property/not_run_property_test.cpp
@@ -1,5 +1,5 @@
-// `not_run` is true and a call that may not be repeated runs at most once, under random
-// faults and cut points of log, service and entry VMs. Fakes stand at the ports.
+// Random faults of log, service and entry VMs, with fakes at the ports. A call reported
+// as `not_run` must not have run, and a call that must not be repeated runs at most once.
 //
 // Index: 1 world, 2 fakes, 3 entry VM, 4 service calls, 5 model calls
 #include "app/call_book.hpp"
@@ -23,30 +23,30 @@
 enum class fault
 {
     none,
-    lost_answer,   // took effect, the answer was lost
+    lost_answer,   // took effect, but the response was lost
     lost_request,  // took no effect, which the sender can't know
     late,          // takes effect later (log only)
     not_connected, // nothing was sent
-    refused,       // answered and refused
-    killed_before, // the sender dies before it takes effect
-    killed_after,  // the sender dies after it took effect
+    refused,       // the receiver refused it
+    killed_before, // the sender crashes before it takes effect
+    killed_after,  // the sender crashes after it took effect
     overtaken,     // another entry VM claims the same key just before (log only)
-    kinds
+    kind_count
 };
 
 struct entry_vm;
 
-/// What is true, whatever the entry VMs believe.
+/// The actual state, independent of what the entry VMs believe.
 struct world
 {
     std::vector<std::string>   log;
     std::deque<std::string>    late;
     std::map<std::string, int> runs;         // by request id
     std::map<std::string, int> runs_by_body; // the body names the key
-    std::set<std::string>      doubted;      // bodies whose sender can't know
-    std::deque<fault>          faults;       // for the next exchanges
-    std::vector<entry_vm*>     entries;
-    std::string                current_key; // of the call that is sent
+    std::set<std::string>  maybe_received;   // bodies whose sender can't know the outcome
+    std::deque<fault>      faults;           // for the next exchanges
+    std::vector<entry_vm*> entries;
+    std::string            current_key; // of the call being sent
 
     fault next_fault()
     {
@@ -61,7 +61,8 @@
 
     std::uint64_t append(std::string const& text);
 
-    /// A rival's intent for each key that the record claims; the rival runs the call.
+    /// Appends an intent of another entry VM for each key that the record claims; that VM
+    /// runs the call.
     void append_rivals(std::string const& text)
     {
         auto const record = leaf::try_handle_all([&] { return parse_record(text); },
@@ -71,16 +72,16 @@
             auto rival = intent;
             rival.set_owner("rival/1");
             rival.set_request_id("rival-" + std::to_string(log.size()));
-            wire::log_record own;
-            own.set_record_id(rival.request_id());
-            *own.mutable_calls()->add_intents() = rival;
+            wire::log_record rival_record;
+            rival_record.set_record_id(rival.request_id());
+            *rival_record.mutable_calls()->add_intents() = rival;
             bool const first = is_free(intent.key_hash());
-            append(format_record(own));
+            append(format_record(rival_record));
             runs_by_body[current_key] += first ? 1 : 0;
         }
     }
 
-    /// True if nobody holds the key, by a fold of the whole log.
+    /// True if no call holds the key, according to a fold of the whole log.
     bool is_free(std::string const& key_hash) const
     {
         ledger truth;
@@ -101,7 +102,7 @@
 
 // 2. Fakes
 
-/// A killed entry VM has no effect any more, whatever its code still does.
+/// A crashed entry VM has no further effect, whatever its code still does.
 struct fake_log
 {
     world& all;
@@ -151,7 +152,7 @@
 {
     world&        all;
     bool&         dead;
-    std::uint64_t tokens = 0; // of every engine's answer
+    std::uint64_t tokens = 0; // of every engine's response
 
     leaf::result<service_answer> call(backend_server const& server,
                                       service_call const&   service)
@@ -166,7 +167,7 @@
             run(service);
             return failed(transport_fault::answer_lost, server);
         case fault::lost_request:
-            all.doubted.insert(service.body);
+            all.maybe_received.insert(service.body);
             return failed(transport_fault::silent, server);
         case fault::late:
             run(service);
@@ -255,10 +256,10 @@
     entry_vm(world& value, std::string owner)
         : all(value), log{value, dead}, backend{value, dead}, writer(log, store),
           book(writer, store, std::move(owner),
-               // What peers believe of each other may be wrong at any time.
+               // The liveness that a VM assumes of its peers may be wrong at any time.
                [this](std::string const& name)
-               { return (name.size() + ++asked) % 2 == 0; },
-               {.claim_wait = millis{0}, .outage_pause = millis{0}}),
+               { return (name.size() + ++liveness_queries) % 2 == 0; },
+               {.claim_wait = millis{0}, .append_retry_pause = millis{0}}),
           path({backend, directory, spans, counters, book, [](wire::usage_delta) {},
                 [](std::string const&) { return key_state::good; }, "dc-1", 3})
     {
@@ -290,7 +291,7 @@
     call_book<fake_log>                  book;
     service_path<fake_backend, fake_log> path;
     bool                                 stalled = false; // does not read the log
-    std::size_t                          asked = 0;
+    std::size_t                          liveness_queries = 0;
 };
 
 std::uint64_t world::append(std::string const& text)
@@ -306,12 +307,12 @@
 
 // 4. Service calls
 
-/// What one try was told.
-struct told
+/// What the caller of one attempt was told.
+struct send_outcome
 {
     std::string              request_id;
-    std::optional<call_fate> fate; // none: answered, or the entry VM died
-    std::string              body; // of an answer
+    std::optional<call_fate> fate; // none: answered, or the entry VM crashed
+    std::string              body; // of a response
 
     bool answered() const
     {
@@ -319,7 +320,7 @@
     }
 };
 
-/// Three entry VMs, one log, two servers, and callers that try again at will.
+/// Three entry VMs, one log, two servers, and callers that retry at any time.
 struct scenario
 {
     scenario()
@@ -357,7 +358,7 @@
         request.body = key.empty() ? request.request_id : key;
         request.deadline = boot_clock::now() + millis{60'000};
         all.current_key = key;
-        told outcome{request.request_id, std::nullopt, ""};
+        send_outcome outcome{request.request_id, std::nullopt, ""};
         leaf::try_handle_all(
             [&]() -> leaf::result<void>
             {
@@ -370,7 +371,7 @@
         if (entries[index]->dead)
         {
             outcome = {request.request_id, std::nullopt, ""};
-            die(index);
+            crash(index);
         }
         outcomes.push_back(outcome);
     }
@@ -390,7 +391,7 @@
             flush(index);
             break;
         case 3:
-            die(index);
+            crash(index);
             break;
         case 4:
             send(index, "", true);
@@ -418,18 +419,19 @@
         entries[index]->book.flush(millis{0});
         if (entries[index]->dead)
         {
-            die(index);
+            crash(index);
         }
     }
 
-    void die(std::size_t index)
+    void crash(std::size_t index)
     {
-        ++deaths;
+        ++crashes;
         restart(index);
     }
 
-    /// All faults end, what is late arrives, and every caller tries once more.
-    void come_to_rest()
+    /// Ends all faults, delivers late records, and sends every key once more through each
+    /// VM.
+    void recover()
     {
         all.faults.clear();
         while (!all.late.empty())
@@ -444,9 +446,10 @@
         }
         for (std::string const key : {"key-0", "key-1"})
         {
-            // No try may have run and no entry VM died, so nothing may hold the key.
-            bool const free =
-                deaths == 0 && all.runs_by_body[key] == 0 && all.doubted.count(key) == 0;
+            // No attempt may have run and no entry VM crashed, so nothing may hold the
+            // key.
+            bool const free = crashes == 0 && all.runs_by_body[key] == 0 &&
+                              all.maybe_received.count(key) == 0;
             must_answer[key] = free;
         }
         for (std::size_t index = 0; index < entries.size(); ++index)
@@ -458,20 +461,20 @@
 
     world                                  all;
     std::vector<std::unique_ptr<entry_vm>> entries;
-    std::vector<told>                      outcomes;
+    std::vector<send_outcome>              outcomes;
     std::map<std::string, bool>            must_answer;
-    int                                    deaths = 0;
+    int                                    crashes = 0;
     int                                    requests = 0;
     int                                    incarnations = 0;
 };
 
-/// Evenly from 0 to below `end`; RapidCheck would narrow the range in small cases.
+/// Uniform from 0 to `end` - 1; RapidCheck would narrow the range in small cases.
 rc::Gen<int> below(int end)
 {
     return rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, end));
 }
 
-/// Half of the exchanges have no fault, so that calls get far enough to be cut late.
+/// Half of the exchanges have no fault, so that calls also get far enough to fail late.
 rc::Gen<int> any_fault(fault end)
 {
     return rc::gen::weightedOneOf<int>(
@@ -484,7 +487,7 @@
         *rc::gen::resize(14, rc::gen::container<std::vector<std::tuple<int, int, int>>>(
                                  rc::gen::tuple(below(14), below(3), below(2))));
     auto const faults = *rc::gen::resize(
-        24, rc::gen::container<std::deque<int>>(any_fault(fault::kinds)));
+        24, rc::gen::container<std::deque<int>>(any_fault(fault::kind_count)));
     scenario trial;
     for (auto const value : faults)
     {
@@ -494,7 +497,7 @@
     {
         trial.step(kind, static_cast<std::size_t>(index), key);
     }
-    trial.come_to_rest();
+    trial.recover();
     for (auto const& outcome : trial.outcomes)
     {
         auto const ran = trial.all.runs.find(outcome.request_id);
@@ -507,8 +510,8 @@
     auto const known = trial.outcomes.size() - 6;
     for (std::size_t index = known; index < trial.outcomes.size(); ++index)
     {
-        // At rest each key has an answer, the same everywhere, or
-        // is known as unknown.
+        // After recovery each key has a response, the same on every VM, or an unknown
+        // outcome.
         auto const& outcome = trial.outcomes[index];
         RC_ASSERT(outcome.answered() || outcome.fate == call_fate::outcome_unknown);
         auto const& first = trial.outcomes[known + (index - known) % 2];
--- a/tests/property/request_values_property_test.cpp
+++ b/tests/property/request_values_property_test.cpp
@@ -1,4 +1,5 @@
-// Values of the request path: state machine, sequencer, budget, suspects, call fold.
+// Properties of value types of the request path: state machine, token sequencer, retry
+// budget, poison list, call fold.
 #include "app/request_state.hpp"
 #include "app/token_sequencer.hpp"
 #include "ledger/call_fold.hpp"
@@ -20,7 +21,7 @@
 {
     auto const    choices = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 7));
     request_state state;
-    bool          under_way = false;
+    bool          in_progress = false;
     bool          sent = false;
     for (auto const choice : choices)
     {
@@ -33,17 +34,17 @@
             continue;
         }
         RC_ASSERT(!before.over());
-        bool const proven = step == request_step::nothing_sent;
-        bool const goes_on = step == request_step::first_token;
-        sent = sent || (under_way && !proven && !goes_on);
-        under_way = step == request_step::dispatch || (under_way && goes_on);
-        RC_ASSERT((state.fate() == call_fate::not_run) == (!sent && !under_way));
+        bool const proven_unsent = step == request_step::nothing_sent;
+        bool const continues = step == request_step::first_token;
+        sent = sent || (in_progress && !proven_unsent && !continues);
+        in_progress = step == request_step::dispatch || (in_progress && continues);
+        RC_ASSERT((state.fate() == call_fate::not_run) == (!sent && !in_progress));
     }
 }
 
-/// Events of one attempt as a confused engine may send them.
-std::vector<stream_event> confused_events(std::uint64_t attempt, std::uint64_t from,
-                                          std::uint64_t count)
+/// Events of one attempt as a faulty engine may send them.
+std::vector<stream_event> faulty_events(std::uint64_t attempt, std::uint64_t from,
+                                        std::uint64_t count)
 {
     std::vector<stream_event> events;
     for (auto sequence = from; sequence < count; ++sequence)
@@ -86,15 +87,16 @@
     return events;
 }
 
-RC_GTEST_PROP(token_sequencer_value, gives_each_token_once_in_order_and_whole_is_true, ())
+RC_GTEST_PROP(token_sequencer_value, gives_each_token_once_in_order_and_complete_is_true,
+              ())
 {
     auto const      count = *rc::gen::inRange<std::uint64_t>(0, 12);
     token_sequencer sequencer("own");
     std::uint64_t   expected = 0;
-    for (std::uint64_t attempt = 1; attempt <= 3 && !sequencer.whole(); ++attempt)
+    for (std::uint64_t attempt = 1; attempt <= 3 && !sequencer.is_complete(); ++attempt)
     {
         sequencer.begin_attempt(attempt);
-        for (auto const& event : confused_events(attempt, sequencer.next(), count))
+        for (auto const& event : faulty_events(attempt, sequencer.next(), count))
         {
             for (auto const& token : sequencer.take(event).tokens)
             {
@@ -104,7 +106,7 @@
         }
         RC_ASSERT(sequencer.next() == expected);
     }
-    RC_ASSERT(!sequencer.whole() || expected == count);
+    RC_ASSERT(!sequencer.is_complete() || expected == count);
 }
 
 RC_GTEST_PROP(retry_budget_value, retries_stay_under_the_share_and_the_burst, ())
@@ -130,7 +132,7 @@
     }
 }
 
-RC_GTEST_PROP(poison_list_value, news_of_peers_merge_in_any_order, ())
+RC_GTEST_PROP(poison_list_value, updates_of_peers_merge_in_any_order, ())
 {
     auto const crashes = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 3), rc::gen::inRange(0, 4)));
@@ -164,7 +166,7 @@
     }
 }
 
-TEST(poison_list_value, memory_is_bounded_and_the_oldest_goes)
+TEST(poison_list_value, drops_the_oldest_suspect_at_capacity)
 {
     poison_list list({.capacity = 3});
     for (int content = 0; content < 10; ++content)
@@ -176,7 +178,7 @@
     EXPECT_EQ(list.entries().begin()->first, "7");
 }
 
-/// One step of a call in the log: kind, key, request.
+/// A log batch with one intent, release or result (`kind` 0, 1 or 2).
 wire::call_batch batch_of(int kind, int key, int request)
 {
     wire::call_batch batch;
@@ -201,7 +203,8 @@
     return batch;
 }
 
-RC_GTEST_PROP(call_fold_value, a_released_try_never_holds_a_key_and_an_answer_stays, ())
+RC_GTEST_PROP(call_fold_value, a_released_attempt_never_holds_a_key_and_an_answer_stays,
+              ())
 {
     auto const steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 3), rc::gen::inRange(0, 6)));
@@ -212,7 +215,7 @@
     std::uint64_t                      offset = 0;
     for (auto const& [kind, request] : steps)
     {
-        auto const key = request % 2; // a try has one key
+        auto const key = request % 2; // an attempt has one key
         auto const batch = batch_of(kind, key, request);
         ++offset;
         fold.apply(offset, batch);
--- a/tests/unit/key_state_test.cpp
+++ b/tests/unit/key_state_test.cpp
@@ -1,4 +1,5 @@
-// A key that is withdrawn between admission and dispatch, with a fake backend server.
+// Keys that are withdrawn or compromised between admission and the end of a call, with a
+// fake backend server.
 #include "app/request_path.hpp"
 #include "support/node_process.hpp"
 
@@ -11,7 +12,7 @@
 namespace
 {
 
-/// Generates four tokens, or as many as come before a cancel; runs `between` after each.
+/// Generates four tokens, or fewer if it is cancelled; runs `after_token` after each.
 class fake_backend
 {
 public:
@@ -23,7 +24,7 @@
         for (; sequence < 4 && cancelled == 0; ++sequence)
         {
             sink({call.request_id, call.attempt, sequence, "token"});
-            between();
+            after_token();
         }
         sink({call.request_id, call.attempt, sequence, "", true, sequence < 4, 1,
               sequence});
@@ -48,11 +49,11 @@
 
     std::atomic<int>      dispatched{0};
     std::atomic<int>      cancelled{0};
-    std::function<void()> between = [] {
+    std::function<void()> after_token = [] {
     };
 };
 
-/// One request path to one engine, and the state of the only key.
+/// A request path with one engine, and the state of the only key.
 struct path_under_test
 {
     path_under_test()
@@ -61,7 +62,7 @@
         path.watch_keys([this](std::string const&) { return key.load(); });
     }
 
-    answer_end run()
+    response_end run()
     {
         auto         stream = path.start({.request_id = "request",
                                           .key_id = "key",
@@ -110,7 +111,7 @@
 TEST(key_state, dispatched_work_of_a_withdrawn_key_finishes)
 {
     path_under_test test;
-    test.backend.between = [&]
+    test.backend.after_token = [&]
     {
         test.key = key_state::withdrawn;
     };
@@ -123,11 +124,13 @@
 TEST(key_state, dispatched_work_of_a_compromised_key_is_cancelled_and_billed_so_far)
 {
     path_under_test test;
-    test.backend.between = [&]
+    test.backend.after_token = [&]
     {
-        // The second token is where the path looks; the cancel goes out beside it.
-        bool const asked = test.key.exchange(key_state::compromised) != key_state::good;
-        EXPECT_TRUE(!asked ||
+        // The request path checks the key at the second token and sends the cancel on
+        // another thread.
+        bool const was_checked =
+            test.key.exchange(key_state::compromised) != key_state::good;
+        EXPECT_TRUE(!was_checked ||
                     tests::eventually([&] { return test.backend.cancelled > 0; }));
     };
     auto const end = test.run();
--- a/tests/unit/server_directory_test.cpp
+++ b/tests/unit/server_directory_test.cpp
@@ -1,4 +1,4 @@
-// What routing sees of the servers.
+// Server states that the directory gives to routing.
 #include "app/server_directory.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
     EXPECT_EQ(directory.group("claims").size(), 1U);
 }
 
-TEST(server_directory, takes_leaving_from_whoever_says_it)
+TEST(server_directory, marks_a_server_leaving_if_any_source_says_so)
 {
     server_directory     directory;
     backend_server const server{
@@ -29,15 +29,15 @@
     directory.report(server, {});
     directory.set_drains({.revision = 1, .data_centres = {"dc-1"}});
     EXPECT_TRUE(directory.group("wording")[0].server.leaving);
-    // The list that is read again must not undo it.
+    // Reading the list again must not undo the drain.
     directory.replace({server});
     EXPECT_TRUE(directory.all()[0].leaving);
     directory.set_drains({.revision = 2});
     EXPECT_FALSE(directory.all()[0].leaving);
 }
 
-// A frozen engine's last report fades until it looks idle and draws every request of the
-// moment, each of which then waits out the silence.
+// The last report of a frozen engine gets old until the engine looks idle. It would then
+// attract every new request, and each would wait for the silence timeout.
 TEST(server_directory, a_server_without_reports_is_the_last_choice)
 {
     server_directory     directory;
