--- a/src/app/caller_front.hpp
+++ b/src/app/caller_front.hpp
@@ -107,10 +107,9 @@
 
 private:
     static constexpr std::size_t request_id_digits = 24;
-    static constexpr millis      take_timeout{
-        200}; // ms; between checks that the caller is connected
-    static constexpr int retry_soon_s = 1;
-    static constexpr int retry_later_s = 3600;
+    static constexpr millis      take_timeout{200}; // ms; between disconnect checks
+    static constexpr int         retry_soon_s = 1;
+    static constexpr int         retry_later_s = 3600;
 
     /// Counts a request as in progress for the lifetime of the object.
     class inflight_count
--- a/src/app/model_parts.hpp
+++ b/src/app/model_parts.hpp
@@ -56,7 +56,7 @@
     retry_budget budget_;
 };
 
-/// References to the services that a model call uses.
+/// Services and settings that a model call uses.
 template <backend_port Backend>
 struct model_parts
 {
--- a/src/app/model_run.hpp
+++ b/src/app/model_run.hpp
@@ -454,8 +454,8 @@
         return result;
     }
 
-    /// Bills the token count that the engine reported. Without a report, bills the tokens
-    /// that were passed on to the caller.
+    /// Bills the token count that the engine reported. Without a trusted report, bills
+    /// the tokens that were passed on to the caller.
     void record_usage()
     {
         auto const& reported = sequencer_.end();
--- a/src/app/poison_guard.cpp
+++ b/src/app/poison_guard.cpp
@@ -132,9 +132,9 @@
     auto const now = boot_clock::now();
     {
         std::lock_guard const lock(mutex_);
-        auto const            reserved_count = std::count_if(group.begin(), group.end(),
-                                                             [&](std::string const& each)
-                                                             { return is_reserved(each, now); });
+        auto const            reserved_count =
+            std::count_if(group.begin(), group.end(),
+                          [&](std::string const& id) { return is_reserved(id, now); });
         auto const max_reserved = std::max<std::ptrdiff_t>(1, std::ssize(group) / 2);
         if (is_reserved(server, now) || reserved_count >= max_reserved)
         {
--- a/src/app/service_path.hpp
+++ b/src/app/service_path.hpp
@@ -30,7 +30,7 @@
     bool operator==(service_reply const&) const = default;
 };
 
-/// References to the services that a service call uses.
+/// Services and settings that a service call uses.
 template <backend_port Backend, platform_log_port Log>
 struct service_parts
 {
--- a/src/app/token_sequencer.hpp
+++ b/src/app/token_sequencer.hpp
@@ -94,8 +94,7 @@
     }
 
 private:
-    static constexpr std::size_t max_ahead =
-        256; // tokens buffered while an earlier one is missing
+    static constexpr std::size_t max_ahead = 256; // tokens buffered out of order
 
     std::vector<std::string> release()
     {
