--- a/tests/property/not_run_property_test.cpp
+++ b/tests/property/not_run_property_test.cpp
@@ -523,7 +523,7 @@
 
 // 5. Model calls
 
-RC_GTEST_PROP(model_calls, are_whole_or_refused_and_not_run_is_true, ())
+RC_GTEST_PROP(model_calls, are_complete_or_refused_and_not_run_is_true, ())
 {
     auto const faults = *rc::gen::resize(
         8, rc::gen::container<std::deque<int>>(any_fault(fault::killed_before)));
