--- a/src/app/engine_controller.hpp
+++ b/src/app/engine_controller.hpp
@@ -41,7 +41,7 @@
     void step(boot_clock::time_point now)
     {
         auto const held = journal_.authority(now, margin());
-        if (!held || now - last_check_ < journal_.terms().every || !read_list())
+        if (!held || now - last_check_ < journal_.terms().check_interval || !read_list())
         {
             return;
         }
@@ -225,7 +225,7 @@
         auto const wanted = next_role_order(own, {rule.prefill, rule.decode}, others);
         if (wanted)
         {
-            journal_.intend(held, wanted->server, with_location(*wanted));
+            journal_.append_intent(held, wanted->server, with_location(*wanted));
         }
     }
 
--- a/src/app/ledger_store.cpp
+++ b/src/app/ledger_store.cpp
@@ -87,7 +87,7 @@
 
 // 2. From peers
 
-bool ledger_store::offer(wire::config_snapshot const& snapshot)
+bool ledger_store::merge(wire::config_snapshot const& snapshot)
 {
     bool changed = false;
     {
@@ -113,7 +113,7 @@
     return changed;
 }
 
-bool ledger_store::offer(wire::key_withdrawal_set const& withdrawals)
+bool ledger_store::merge(wire::key_withdrawal_set const& withdrawals)
 {
     bool changed = false;
     {
@@ -132,7 +132,7 @@
     return changed;
 }
 
-bool ledger_store::offer(wire::drain_state const& drains)
+bool ledger_store::merge(wire::drain_state const& drains)
 {
     bool changed = false;
     {
--- a/src/app/ledger_store.hpp
+++ b/src/app/ledger_store.hpp
@@ -73,14 +73,14 @@
     /// anything changed. Only a revision that this node has not yet read in the log is
     /// taken from a peer: a revision that the ledger has passed without accepting it is
     /// refused, and one that the ledger passes later is replaced by the ledger's own.
-    bool offer(wire::config_snapshot const& snapshot);
+    bool merge(wire::config_snapshot const& snapshot);
 
     /// Adds withdrawn keys from any source. True if any was new.
-    bool offer(wire::key_withdrawal_set const& withdrawals);
+    bool merge(wire::key_withdrawal_set const& withdrawals);
 
     /// Takes a peer's drains if they are newer than those known. True if anything
     /// changed.
-    bool offer(wire::drain_state const& drains);
+    bool merge(wire::drain_state const& drains);
 
     /// The rules in force, to be sent to peers.
     accepted_rules rules_in_force() const;
--- a/src/app/node_peers.cpp
+++ b/src/app/node_peers.cpp
@@ -83,14 +83,14 @@
         receive_heartbeat(message);
         break;
     case wire::peer_message::kConfiguration:
-        store.offer(message.configuration());
+        store.merge(message.configuration());
         break;
     case wire::peer_message::kLimitWanted:
     case wire::peer_message::kLimitLent:
         receive_limit(message);
         break;
     case wire::peer_message::kDrains:
-        store.offer(message.drains());
+        store.merge(message.drains());
         break;
     case wire::peer_message::kConfigurationWanted:
         if (store.rules_in_force().revision != 0)
@@ -99,7 +99,7 @@
         }
         break;
     case wire::peer_message::kWithdrawals:
-        store.offer(message.withdrawals());
+        store.merge(message.withdrawals());
         break;
     case wire::peer_message::kHandoff:
         receive_handoff(message);
--- a/src/app/node_work.cpp
+++ b/src/app/node_work.cpp
@@ -74,7 +74,7 @@
     store.with_ledger(
         [&](ledger const& value)
         {
-            custody.forget_counted(value.usage());
+            custody.erase_counted(value.usage());
             return 0;
         });
     auto const now = boot_clock::now();
--- a/src/app/operator_front.hpp
+++ b/src/app/operator_front.hpp
@@ -195,7 +195,7 @@
         auto* withdrawal = message.mutable_withdrawals()->add_withdrawals();
         withdrawal->set_key_id(body["key_id"].get<std::string>());
         withdrawal->set_compromised(body.value("compromised", false));
-        store_.offer(message.withdrawals());
+        store_.merge(message.withdrawals());
         peers_.broadcast(message);
         wire::log_record record;
         *record.mutable_withdrawal() = *withdrawal;
--- a/src/app/order_journal.hpp
+++ b/src/app/order_journal.hpp
@@ -23,11 +23,12 @@
 /// Timing of orders.
 struct order_durations
 {
-    millis margin{500};   // 500    wait of a new holder for packets in flight
-    millis notice{500};   // 500    time in which all entry VMs read of a drain
-    millis settle{60000}; // 60000  age at which an order without effect is abandoned
-    millis every{200};    // 200    between checks of engines and VM list
-    millis append{2000};  // 2000   wait until an intent or outcome is read back
+    millis margin{500}; // 500    wait of a new holder for packets in flight
+    millis notice{500}; // 500    time in which all entry VMs read of a drain
+    millis abandon_after{
+        60000}; // 60000  age at which an order without effect is abandoned
+    millis check_interval{200}; // 200    between checks of engines and VM list
+    millis append{2000};        // 2000   wait until an intent or outcome is read back
 
     bool operator==(order_durations const&) const = default;
 };
@@ -85,8 +86,8 @@
 
     /// Appends an intent. The order may be sent once `open` returns it, and only if this
     /// process read the intent back in time.
-    void intend(held_lease const& held, std::string const& target_name,
-                order const& wanted)
+    void append_intent(held_lease const& held, std::string const& target_name,
+                       order const& wanted)
     {
         wire::log_record record;
         auto*            body = record.mutable_intent();
@@ -213,7 +214,7 @@
         return {.inherited = entry.epoch != held.epoch,
                 .sending = own.sending,
                 .age = std::chrono::duration_cast<millis>(now - own.seen_at),
-                .settle_limit = terms_.settle};
+                .settle_limit = terms_.abandon_after};
     }
 
     log_writer<Log>&            writer_;
--- a/src/app/usage_custody.cpp
+++ b/src/app/usage_custody.cpp
@@ -19,7 +19,7 @@
     }
 }
 
-void usage_custody::forget_counted(usage_fold const& counted)
+void usage_custody::erase_counted(usage_fold const& counted)
 {
     std::lock_guard const lock(mutex_);
     for (auto each = held_.begin(); each != held_.end();)
--- a/src/app/usage_custody.hpp
+++ b/src/app/usage_custody.hpp
@@ -32,7 +32,7 @@
     void take(wire::usage_batch const& batch, boot_clock::time_point now);
 
     /// Removes the deltas that the ledger has counted.
-    void forget_counted(usage_fold const& counted);
+    void erase_counted(usage_fold const& counted);
 
     /// Batches to append now: deltas held for at least `hold` whose node is gone, and
     /// deltas held for a multiple of it whose node is alive but cannot reach the log, as
--- a/src/app/usage_recorder.hpp
+++ b/src/app/usage_recorder.hpp
@@ -76,7 +76,7 @@
     /// no delta is waiting afterwards.
     bool flush(millis timeout)
     {
-        forget_counted();
+        erase_counted();
         for (auto const& batch : batches())
         {
             if (!append_batch(writer_, batch, timeout))
@@ -84,7 +84,7 @@
                 return false;
             }
         }
-        forget_counted();
+        erase_counted();
         return waiting() == 0;
     }
 
@@ -178,7 +178,7 @@
         return result;
     }
 
-    void forget_counted()
+    void erase_counted()
     {
         store_.with_ledger(
             [&](ledger const& value)
--- a/src/app/vm_orderer.hpp
+++ b/src/app/vm_orderer.hpp
@@ -47,7 +47,7 @@
     void step(boot_clock::time_point now)
     {
         auto const held = journal_.authority(now, journal_.terms().margin);
-        if (!held || now - last_check_ < journal_.terms().every)
+        if (!held || now - last_check_ < journal_.terms().check_interval)
         {
             return;
         }
@@ -193,7 +193,7 @@
         {
             return false;
         }
-        journal_.intend(held, target_for(*wanted, used_targets), *wanted);
+        journal_.append_intent(held, target_for(*wanted, used_targets), *wanted);
         return true;
     }
 
--- a/tests/concurrent/usage_handoff_test.cpp
+++ b/tests/concurrent/usage_handoff_test.cpp
@@ -155,7 +155,7 @@
             auto const& open = value.usage().open();
             EXPECT_EQ(open.at({"north", ""}).output_tokens,
                       static_cast<std::uint64_t>(threads * deltas));
-            peers.custody.forget_counted(value.usage());
+            peers.custody.erase_counted(value.usage());
             return 0;
         });
     EXPECT_EQ(peers.custody.size(), 0U);
--- a/tests/property/folds_property_test.cpp
+++ b/tests/property/folds_property_test.cpp
@@ -350,7 +350,7 @@
     for (std::size_t index = 0; index < log.size(); ++index)
     {
         auto const ahead = *rc::gen::inRange<std::size_t>(0, log.size() + 1);
-        store.offer(snapshot_of(folded(log, 0, ahead).config().current()));
+        store.merge(snapshot_of(folded(log, 0, ahead).config().current()));
         RC_ASSERT(store.access()->revision() >= in_force);
         in_force = store.access()->revision();
         store.apply(index + 1, format_record(log[index]), boot_clock::now());
@@ -377,14 +377,14 @@
     {
         if (index == at)
         {
-            store.offer(snapshot_of({claimed, "never", "[workspaces]\n", "nobody"}));
+            store.merge(snapshot_of({claimed, "never", "[workspaces]\n", "nobody"}));
         }
         store.apply(index + 1, format_record(log[index]), boot_clock::now());
     }
     if (at == log.size())
     {
         RC_ASSERT(
-            !store.offer(snapshot_of({claimed, "never", "[workspaces]\n", "nobody"})) ||
+            !store.merge(snapshot_of({claimed, "never", "[workspaces]\n", "nobody"})) ||
             claimed > log.size());
         return;
     }
@@ -474,7 +474,7 @@
         fold.apply(batch);
     }
     RC_ASSERT(found == sequences);
-    custody.forget_counted(fold);
+    custody.erase_counted(fold);
     RC_ASSERT(custody.size() == 0U);
 }
 
