--- a/src/app/caller_front.hpp
+++ b/src/app/caller_front.hpp
@@ -45,7 +45,7 @@
 
     /// Sets the workspace limits that each model call is checked against. Call before the
     /// first request.
-    void limit_by(limit_shares& limits)
+    void set_limits(limit_shares& limits)
     {
         limits_ = &limits;
     }
@@ -229,7 +229,7 @@
             return write_complete_response(*stream, *caller, std::move(first), writer,
                                            response, *timing);
         }
-        auto state = std::make_shared<answer_batch>(std::move(first));
+        auto state = std::make_shared<response_batch>(std::move(first));
         response.set_chunked_content_provider(
             "text/event-stream",
             [this, stream, state, writer, request_id, caller, counted,
@@ -245,9 +245,10 @@
 
     /// Waits for a token or the end. The request path ends every request by its deadline,
     /// and at once if the caller has disconnected.
-    static answer_batch wait_for_tokens(answer_stream& stream, caller_connection& caller)
+    static response_batch wait_for_tokens(response_stream&   stream,
+                                          caller_connection& caller)
     {
-        answer_batch batch;
+        response_batch batch;
         while (batch.tokens.empty() && !batch.end)
         {
             batch = stream.take(take_timeout);
@@ -260,8 +261,8 @@
     }
 
     leaf::result<void>
-    write_complete_response(answer_stream& stream, caller_connection& caller,
-                            answer_batch batch, response_writer const& writer,
+    write_complete_response(response_stream& stream, caller_connection& caller,
+                            response_batch batch, response_writer const& writer,
                             httplib::Response& response, response_timing& timing)
     {
         std::string text;
@@ -295,7 +296,7 @@
     /// Writes the tokens that have arrived; httplib calls it until the response ends. A
     /// response that is interrupted leaves the chunked coding unterminated, so that no
     /// HTTP client takes it for complete.
-    bool write_stream_events(answer_stream& stream, answer_batch& batch,
+    bool write_stream_events(response_stream& stream, response_batch& batch,
                              response_writer const& writer, std::string const& request_id,
                              httplib::DataSink& sink, response_timing& timing)
     {
--- a/src/app/call_book.hpp
+++ b/src/app/idempotency_log.hpp
@@ -1,10 +1,11 @@
 // Runs calls that carry an idempotency key at most once: writes their claims, releases
 // and results to the log.
 //
-// Index: 1 call_book_options, 2 call_claim, 3 call_book: claims, 4 call_book: group
-//        commit, 5 call_book: pending writes
-#ifndef MARIGOLDCRANK_APP_CALL_BOOK_HPP
-#define MARIGOLDCRANK_APP_CALL_BOOK_HPP
+// Index: 1 idempotency_log_options, 2 call_claim, 3 idempotency_log: claims, 4
+// idempotency_log: group
+//        commit, 5 idempotency_log: pending writes
+#ifndef MARIGOLDCRANK_APP_IDEMPOTENCY_LOG_HPP
+#define MARIGOLDCRANK_APP_IDEMPOTENCY_LOG_HPP
 
 #include "app/ledger_store.hpp"
 #include "app/log_writer.hpp"
@@ -25,13 +26,13 @@
 namespace marigoldcrank
 {
 
-struct call_book_options
+struct idempotency_log_options
 {
-    millis      claim_wait{1500};        // 1500   ms; longest wait to read an intent back
+    millis      max_claim_wait{1500};    // 1500   ms; longest wait to read an intent back
     millis      append_retry_pause{200}; // 200    ms; between appends to a failing log
-    std::size_t kept_body = 65536;       // 65536  bytes; larger responses are not stored
+    std::size_t max_stored_body = 65536; // 65536  bytes; larger responses are not stored
 
-    bool operator==(call_book_options const&) const = default;
+    bool operator==(idempotency_log_options const&) const = default;
 };
 
 /// Whether an attempt under an idempotency key may be dispatched.
@@ -56,13 +57,13 @@
 /// Thread-safe. One thread is expected to call `flush` periodically. `is_alive` tells
 /// whether the VM that owns a claim still runs.
 template <platform_log_port Log>
-class call_book
+class idempotency_log
 {
 public:
     using liveness = std::function<bool(std::string const& owner)>;
 
-    call_book(log_writer<Log>& writer, ledger_store& store, std::string self,
-              liveness is_alive, call_book_options options)
+    idempotency_log(log_writer<Log>& writer, ledger_store& store, std::string self,
+                    liveness is_alive, idempotency_log_options options)
         : writer_(writer), store_(store), self_(std::move(self)),
           is_alive_(std::move(is_alive)), options_(options)
     {
@@ -87,7 +88,7 @@
             std::lock_guard const lock(mutex_);
             running_.insert(intent.request_id());
         }
-        auto const deadline = boot_clock::now() + options_.claim_wait;
+        auto const deadline = boot_clock::now() + options_.max_claim_wait;
         bool       sent = false;
         if (!commit_intent(intent, deadline, sent))
         {
@@ -114,7 +115,7 @@
         result.set_key_hash(intent.key_hash());
         result.set_request_id(intent.request_id());
         result.set_body_hash(intent.body_hash());
-        if (result.body().size() > options_.kept_body)
+        if (result.body().size() > options_.max_stored_body)
         {
             result.clear_body();
             result.set_body_left_out(true);
@@ -369,7 +370,7 @@
     ledger_store&                        store_;
     std::string                          self_;
     liveness                             is_alive_;
-    call_book_options                    options_;
+    idempotency_log_options              options_;
     std::timed_mutex                     append_mutex_;
     mutable std::mutex                   mutex_;
     std::map<std::string, queued_intent> queued_intents_; // by request id
--- a/src/app/model_run.hpp
+++ b/src/app/model_run.hpp
@@ -5,9 +5,9 @@
 #ifndef MARIGOLDCRANK_APP_MODEL_RUN_HPP
 #define MARIGOLDCRANK_APP_MODEL_RUN_HPP
 
-#include "app/answer_stream.hpp"
 #include "app/model_parts.hpp"
 #include "app/request_state.hpp"
+#include "app/response_stream.hpp"
 #include "app/solo_wait.hpp"
 #include "app/token_sequencer.hpp"
 
@@ -27,7 +27,7 @@
 {
 public:
     model_run(model_parts<Backend>& parts, model_request const& request,
-              answer_stream& stream)
+              response_stream& stream)
         : parts_(parts), request_(request), stream_(stream),
           sequencer_(request.request_id)
     {
@@ -479,7 +479,7 @@
 
     model_parts<Backend>& parts_;
     model_request const&  request_;
-    answer_stream&        stream_;
+    response_stream&      stream_;
     token_sequencer       sequencer_;
     request_state         state_;
     refusal_cause         cause_ = refusal_cause::no_backend_server;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -77,16 +77,16 @@
       limits({.entries = static_cast<std::int64_t>(entry_vm_count(options))},
              random_first_ask()),
       workers(count_of(options.http_threads)),
-      book(writer, store, holder,
-           [this](std::string const& owner) { return alive(owner); },
-           {.claim_wait = millis{options.claim_wait_ms},
-            .kept_body = count_of(options.kept_body_bytes)}),
+      idempotency(writer, store, holder,
+                  [this](std::string const& owner) { return alive(owner); },
+                  {.max_claim_wait = millis{options.claim_wait_ms},
+                   .max_stored_body = count_of(options.kept_body_bytes)}),
       path(backend, directory, spans, counters, workers, poison,
            [this](wire::usage_delta delta) { add_usage(std::move(delta)); },
            {.data_centre = options.data_centre,
             .max_attempts = options.max_attempts,
             .retries = {options.retry_percent, options.retry_burst}}),
-      services({backend, directory, spans, counters, book,
+      services({backend, directory, spans, counters, idempotency,
                 [this](wire::usage_delta delta) { add_usage(std::move(delta)); },
                 [this](std::string const& id) { return state_of_key(id); },
                 options.data_centre, options.max_attempts}),
@@ -131,7 +131,7 @@
     started = true;
     path.watch_keys([this](std::string const& id) { return state_of_key(id); });
     callers.add_routes(server);
-    callers.limit_by(limits);
+    callers.set_limits(limits);
     operators.set_target_ledger(callers.targets());
     operators.add_routes(server);
     bound =
@@ -223,7 +223,7 @@
                    parts_->append_custody(millis::zero());
         });
     bool const results_logged =
-        wait_for([this] { return parts_->book.flush(flush_timeout); });
+        wait_for([this] { return parts_->idempotency.flush(flush_timeout); });
     parts_->reporter_lease.release();
     parts_->keeper_lease.release();
     bool const complete = calls_done && usage_logged && results_logged;
--- a/src/app/node_parts.hpp
+++ b/src/app/node_parts.hpp
@@ -69,7 +69,7 @@
     snapshot_keeper<http_platform>              keeper;
     limit_shares                                limits;
     worker_pool                                 workers;
-    call_book<http_platform>                    book;
+    idempotency_log<http_platform>              idempotency;
     request_path<http_backend>                  path;
     service_path<http_backend, http_platform>   services;
     caller_front<http_backend, http_platform>   callers;
--- a/src/app/node_peers.cpp
+++ b/src/app/node_peers.cpp
@@ -142,7 +142,7 @@
 {
     auto const& heartbeat = message.beat();
     auto const  access = store.access();
-    for (auto& update : poison.news_for(message.from(), message.incarnation()))
+    for (auto& update : poison.updates_for(message.from(), message.incarnation()))
     {
         update.set_from(options.name);
         update.set_incarnation(incarnation);
--- a/src/app/node_work.cpp
+++ b/src/app/node_work.cpp
@@ -111,7 +111,7 @@
 {
     while (!stopping && !duties_ended)
     {
-        book.flush(flush_timeout);
+        idempotency.flush(flush_timeout);
         std::this_thread::sleep_for(idempotency_interval);
     }
 }
--- a/src/app/poison_guard.cpp
+++ b/src/app/poison_guard.cpp
@@ -89,8 +89,8 @@
     }
 }
 
-std::vector<wire::peer_message> poison_guard::news_for(std::string const& peer,
-                                                       std::string const& incarnation)
+std::vector<wire::peer_message> poison_guard::updates_for(std::string const& peer,
+                                                          std::string const& incarnation)
 {
     std::lock_guard const           lock(mutex_);
     std::vector<wire::peer_message> messages;
--- a/src/app/poison_guard.hpp
+++ b/src/app/poison_guard.hpp
@@ -54,8 +54,8 @@
     /// Messages to send to a peer at its heartbeat: all suspects during the first
     /// heartbeats of each incarnation, because messages to a process that has just
     /// started may be lost; none afterwards.
-    std::vector<wire::peer_message> news_for(std::string const& peer,
-                                             std::string const& incarnation);
+    std::vector<wire::peer_message> updates_for(std::string const& peer,
+                                                std::string const& incarnation);
 
     /// Number of suspected contents.
     std::uint64_t suspects() const;
--- a/src/app/request_path.hpp
+++ b/src/app/request_path.hpp
@@ -37,9 +37,9 @@
     }
 
     /// Starts a model call; its tokens and its end arrive on the returned stream.
-    std::shared_ptr<answer_stream> start(model_request request)
+    std::shared_ptr<response_stream> start(model_request request)
     {
-        auto stream = std::make_shared<answer_stream>();
+        auto stream = std::make_shared<response_stream>();
         workers_.post([this, stream, request = std::move(request)]
                       { model_run<Backend>(parts_, request, *stream).run(); });
         return stream;
--- a/src/app/answer_stream.hpp
+++ b/src/app/response_stream.hpp
@@ -1,9 +1,9 @@
 // Queue that hands the tokens of one response from the engine thread to the caller
 // thread.
 //
-// Index: 1 response_end, 2 answer_batch, 3 answer_stream
-#ifndef MARIGOLDCRANK_APP_ANSWER_STREAM_HPP
-#define MARIGOLDCRANK_APP_ANSWER_STREAM_HPP
+// Index: 1 response_end, 2 response_batch, 3 response_stream
+#ifndef MARIGOLDCRANK_APP_RESPONSE_STREAM_HPP
+#define MARIGOLDCRANK_APP_RESPONSE_STREAM_HPP
 
 #include "domain/boot_clock.hpp"
 #include "domain/failure.hpp"
@@ -31,14 +31,14 @@
 };
 
 /// The tokens, and the end if it has come, since the previous read.
-struct answer_batch
+struct response_batch
 {
     std::vector<std::string>    tokens;
     std::optional<response_end> end;
 };
 
 /// Thread-safe queue for exactly one producer thread and one consumer thread.
-class answer_stream
+class response_stream
 {
 public:
     /// Producer: appends a token. Returns false once the caller has disconnected.
@@ -67,7 +67,7 @@
     }
 
     /// Consumer: waits for a token or the end. Returns an empty batch after the timeout.
-    answer_batch take(millis timeout)
+    response_batch take(millis timeout)
     {
         std::unique_lock lock(mutex_);
         changed_.wait_for(lock, timeout,
@@ -118,7 +118,7 @@
 private:
     mutable std::mutex      mutex_;
     std::condition_variable changed_;
-    answer_batch            pending_;
+    response_batch          pending_;
     bool                    abandoned_ = false;
     std::function<void()>   on_abandon_;
 };
--- a/src/app/service_path.hpp
+++ b/src/app/service_path.hpp
@@ -7,8 +7,8 @@
 
 #include "adapters/metrics.hpp"
 #include "adapters/span_store.hpp"
-#include "app/call_book.hpp"
 #include "app/caller_request.hpp"
+#include "app/idempotency_log.hpp"
 #include "app/request_state.hpp"
 #include "app/server_directory.hpp"
 #include "domain/api_key.hpp"
@@ -38,7 +38,7 @@
     server_directory&                                   directory;
     span_store&                                         spans;
     metrics&                                            counters;
-    call_book<Log>&                                     book;
+    idempotency_log<Log>&                               idempotency;
     std::function<void(wire::usage_delta)>              usage;
     std::function<key_state(std::string const& key_id)> keys; // empty: all are good
     std::string                                         data_centre;
@@ -131,7 +131,7 @@
     call_claim claim_key(service_request const& request, wire::call_intent const& intent)
     {
         span_scope span(parts_.spans, request.trace, request.request_id, "claim");
-        auto       claim = parts_.book.claim(intent);
+        auto       claim = parts_.idempotency.claim(intent);
         span.note("claim.verdict", std::to_string(static_cast<int>(claim.verdict)));
         return claim;
     }
@@ -146,16 +146,16 @@
             result.set_status(static_cast<std::uint32_t>(ended.answer->status));
             result.set_content_type(ended.answer->content_type);
             result.set_body(ended.answer->body);
-            parts_.book.settle(intent, std::move(result));
+            parts_.idempotency.settle(intent, std::move(result));
             return service_reply{*ended.answer};
         }
         if (ended.refused.fate == call_fate::not_run)
         {
-            parts_.book.release(intent);
+            parts_.idempotency.release(intent);
         }
         else
         {
-            parts_.book.settle(intent, {});
+            parts_.idempotency.settle(intent, {});
         }
         return leaf::new_error(ended.refused);
     }
--- a/src/app/target_ledger.cpp
+++ b/src/app/target_ledger.cpp
@@ -72,7 +72,7 @@
     sample_.workspace = std::move(workspace);
 }
 
-void response_timing::take(answer_batch const& batch)
+void response_timing::take(response_batch const& batch)
 {
     auto const now = boot_clock::now();
     auto const since = [&](boot_clock::time_point from)
--- a/src/app/target_ledger.hpp
+++ b/src/app/target_ledger.hpp
@@ -5,7 +5,7 @@
 #define MARIGOLDCRANK_APP_TARGET_LEDGER_HPP
 
 #include "adapters/span_store.hpp"
-#include "app/answer_stream.hpp"
+#include "app/response_stream.hpp"
 #include "policy/target_evaluation.hpp"
 
 #include <nlohmann/json.hpp>
@@ -57,7 +57,7 @@
                     boot_clock::time_point started);
 
     /// Measures a batch of tokens at the time of the call.
-    void take(answer_batch const& batch);
+    void take(response_batch const& batch);
 
 private:
     void         finish(std::string const& outcome);
--- a/tests/concurrent/shared_state_test.cpp
+++ b/tests/concurrent/shared_state_test.cpp
@@ -3,8 +3,8 @@
 #include "adapters/metrics.hpp"
 #include "adapters/span_store.hpp"
 #include "adapters/zmq_peers.hpp"
-#include "app/answer_stream.hpp"
 #include "app/ledger_store.hpp"
+#include "app/response_stream.hpp"
 #include "app/server_directory.hpp"
 #include "support/node_process.hpp"
 #include "wire.pb.h"
@@ -82,8 +82,8 @@
 
 TEST(shared_state, answer_stream_delivers_every_token_in_order)
 {
-    answer_stream stream;
-    std::thread   producer(
+    response_stream stream;
+    std::thread     producer(
         [&]
         {
             for (int round = 0; round < rounds; ++round)
@@ -92,8 +92,8 @@
             }
             stream.finish({std::nullopt, 1, rounds});
         });
-    int          next = 0;
-    answer_batch batch;
+    int            next = 0;
+    response_batch batch;
     while (!batch.end)
     {
         batch = stream.take(millis{1000});
--- a/tests/property/not_run_property_test.cpp
+++ b/tests/property/not_run_property_test.cpp
@@ -2,7 +2,7 @@
 // as `not_run` must not have run, and a call that must not be repeated runs at most once.
 //
 // Index: 1 world, 2 fakes, 3 entry VM, 4 service calls, 5 model calls
-#include "app/call_book.hpp"
+#include "app/idempotency_log.hpp"
 #include "app/model_run.hpp"
 #include "app/service_path.hpp"
 
@@ -256,12 +256,14 @@
 {
     entry_vm(world& value, std::string owner)
         : all(value), log{value, dead}, backend{value, dead}, writer(log, store),
-          book(writer, store, std::move(owner),
-               // The liveness that a VM assumes of its peers may be wrong at any time.
-               [this](std::string const& name)
-               { return (name.size() + ++liveness_queries) % 2 == 0; },
-               {.claim_wait = millis{0}, .append_retry_pause = millis{0}}),
-          path({backend, directory, spans, counters, book, [](wire::usage_delta) {},
+          idempotency(
+              writer, store, std::move(owner),
+              // The liveness that a VM assumes of its peers may be wrong at any time.
+              [this](std::string const& name)
+              { return (name.size() + ++liveness_queries) % 2 == 0; },
+              {.max_claim_wait = millis{0}, .append_retry_pause = millis{0}}),
+          path({backend, directory, spans, counters, idempotency,
+                [](wire::usage_delta) {},
                 [](std::string const&) { return key_state::good; }, "dc-1", 3})
     {
         directory.replace({{.id = "service-1", .group = "ordering"},
@@ -289,7 +291,7 @@
     }};
     server_directory                     directory;
     log_writer<fake_log>                 writer;
-    call_book<fake_log>                  book;
+    idempotency_log<fake_log>            idempotency;
     service_path<fake_backend, fake_log> path;
     bool                                 stalled = false; // does not read the log
     std::size_t                          liveness_queries = 0;
@@ -417,7 +419,7 @@
 
     void flush(std::size_t index)
     {
-        entries[index]->book.flush(millis{0});
+        entries[index]->idempotency.flush(millis{0});
         if (entries[index]->dead)
         {
             crash(index);
@@ -562,7 +564,7 @@
     request.group = "wording";
     request.content = "content";
     request.deadline = boot_clock::now() + millis{60'000};
-    answer_stream stream;
+    response_stream stream;
     model_run<fake_backend>(parts, request, stream).run();
     auto const answer = stream.take(millis{0});
     RC_ASSERT(answer.end.has_value());
--- a/tests/unit/key_state_test.cpp
+++ b/tests/unit/key_state_test.cpp
@@ -64,11 +64,11 @@
 
     response_end run()
     {
-        auto         stream = path.start({.request_id = "request",
-                                          .key_id = "key",
-                                          .group = "group",
-                                          .deadline = boot_clock::now() + millis{60000}});
-        answer_batch batch;
+        auto           stream = path.start({.request_id = "request",
+                                            .key_id = "key",
+                                            .group = "group",
+                                            .deadline = boot_clock::now() + millis{60000}});
+        response_batch batch;
         while (!batch.end)
         {
             batch = stream->take(millis{1000});
