--- a/bench/bench_entry.cpp
+++ b/bench/bench_entry.cpp
@@ -1,11 +1,11 @@
-// What one entry VM adds: latency against asking the engine directly, and how much it
-// serves a core. Prints `name value unit` lines.
+// Overhead of one entry VM: latency added to a direct call of the engine, and throughput
+// per core. Prints `name value unit` lines.
 //
 // Index: 1 measuring, 2 latency, 3 throughput, 4 main
 //
-// The engine's stand-in, the entry and this program share the machine, so absolute times
-// depend on what else runs; the ratios compare requests sent alternately in one run.
-// Processor time is the entry process's own, read from the kernel.
+// The engine's stand-in, the entry VM and this program share one host, so absolute times
+// depend on its load. The ratios compare requests sent alternately in one run. Processor
+// time is that of the entry process, read from the kernel.
 #include "support/node_process.hpp"
 
 #include "domain/boot_clock.hpp"
@@ -30,7 +30,7 @@
 
 // 1. Measuring
 
-/// Processor seconds that a process used so far, in user and system mode.
+/// Processor time of a process in user and system mode, in seconds.
 double processor_seconds(pid_t pid)
 {
     std::ifstream stream("/proc/" + std::to_string(pid) + "/stat");
@@ -73,7 +73,7 @@
 
 // 2. Latency
 
-/// Milliseconds until the first byte of the answer's body.
+/// Milliseconds until the first byte of the response's body.
 double first_token_ms(httplib::Client& client, httplib::Headers const& headers)
 {
     auto const       begun = boot_clock::now();
@@ -132,8 +132,8 @@
 
 // 3. Throughput
 
-/// Runs `streams` callers at once, each one answer after another until the time is over.
-/// Returns the number of whole answers.
+/// Runs `streams` concurrent callers, each of which sends one call after another for
+/// `duration`. Returns the number of complete responses.
 std::int64_t drive(fleet& system, int streams, int tokens, millis duration)
 {
     std::atomic<std::int64_t> whole{0};
--- a/bench/bench_ledger.cpp
+++ b/bench/bench_ledger.cpp
@@ -1,9 +1,10 @@
-// Cost of folding one record, by kind, and of a snapshot. Prints `name value unit` lines.
+// Time to fold one record, by kind, and to write and restore a snapshot. Prints `name
+// value unit` lines.
 //
 // Index: 1 measuring, 2 records, 3 snapshot, 4 main
 //
-// Times are of one thread and depend on the machine; the ratios are against the cheapest
-// kind, a renewal, measured alternately in the same run.
+// Times are of one thread and depend on the processor. The ratios compare each kind with
+// the cheapest one, a renewal, measured alternately in the same run.
 #include "app/ledger_store.hpp"
 #include "domain/boot_clock.hpp"
 #include "ledger/ledger.hpp"
@@ -118,7 +119,8 @@
     return record;
 }
 
-/// Folds a run of records of one kind, from their text, as a node reads them.
+/// Folds records of one kind from their text, as a node does. Returns microseconds per
+/// record.
 double fold_once(record_kind const& kind, std::uint64_t first)
 {
     std::vector<std::string> texts;
@@ -173,7 +175,7 @@
     {
         value.apply(offset, change(offset));
     }
-    // Usage without gaps in its numbers, as nodes send it.
+    // Usage batches have consecutive numbers, as nodes send them.
     for (std::uint64_t offset = 1002; offset < 3002; ++offset)
     {
         value.apply(offset,
--- a/bench/bench_policy.cpp
+++ b/bench/bench_policy.cpp
@@ -1,4 +1,5 @@
-// bench_policy: the replay's goals as ratios within one run, for each user and over all.
+// bench_policy: results of the trace replay as ratios within one run, for each user and
+// over all.
 //
 // Usage: bench_policy [TRACE DIRECTORY]. Prints `name value unit` lines.
 #include "replay_table.hpp"
@@ -32,7 +33,7 @@
 {
     auto const     runs = run_all(input, {});
     auto const     ratios = ratios_of(input, runs);
-    constexpr auto most = std::int64_t{10'000}; // a baseline near nothing proves little
+    constexpr auto max_ratio = std::int64_t{10'000}; // a baseline near 0 proves little
     ++sums.traces;
     sums.good += ratios.good;
     sums.least_good = std::min(sums.least_good, ratios.good);
@@ -43,7 +44,7 @@
     if (input.shift.to_us > 0)
     {
         ++sums.shifting;
-        sums.simple_in_shift += std::min(most, ratios.simple);
+        sums.simple_in_shift += std::min(max_ratio, ratios.simple);
     }
     if (input.flood.to_us > 0)
     {
--- a/bench/bench_routing.cpp
+++ b/bench/bench_routing.cpp
@@ -1,6 +1,6 @@
-// bench_routing: cost of one routing decision by number of engines and workspaces.
+// bench_routing: time of one routing decision by number of engines and workspaces.
 //
-// Prints `name value unit` lines; ratios within one run, and the time itself.
+// Prints `name value unit` lines: the time, and ratios of times within one run.
 #include "policy/fair_share.hpp"
 #include "policy/prefix_index.hpp"
 #include "policy/route.hpp"
@@ -17,7 +17,7 @@
 
 constexpr std::uint64_t seed = 20261202;
 constexpr int           decisions = 10'000;
-constexpr int           rounds = 7; // the least counts: others use the machine as well
+constexpr int rounds = 7; // the minimum counts, since other load slows single rounds
 
 struct bench_case
 {
@@ -39,7 +39,8 @@
     return views;
 }
 
-/// What the request path does for each request: share, prefix hits, choice, own work.
+/// Microseconds for what the request path does for each request: it computes the share,
+/// looks up cached prefixes, chooses an engine and accounts for its own load.
 double decision_us(bench_case const& which)
 {
     std::mt19937_64 generator(seed);
--- a/bench/entry_soak/entry_soak.cpp
+++ b/bench/entry_soak/entry_soak.cpp
@@ -1,11 +1,12 @@
-// Soak of the event-driven serving path: three real daemons under random troubles.
+// Soak test of the event-driven serving path: three real daemons under random faults.
 //
 //     entry_soak [--seed N] [--seeds FIRST-LAST] [--seconds S] [--keep FOLDER]
 //
-// One line a seed: its verdict and what callers got. Ends with 1 if a promise was broken;
-// the daemons' output is then kept in FOLDER/SEED-VM.log.
+// Prints one line for each seed: the verdict and the number of responses by status. Exits
+// with 1 if a check failed; the output of the daemons is then written to
+// FOLDER/SEED-VM.log.
 //
-// Index: 1 soak_options, 2 play, 3 main
+// Index: 1 soak_options, 2 run_seed, 3 main
 #include "platform/support/entry_cluster.hpp"
 #include "soak_callers.hpp"
 #include "soak_servers.hpp"
@@ -34,13 +35,13 @@
 constexpr int    vms = 3;
 constexpr int    callers = 16;
 constexpr int    recovery_ms = 20000;
-constexpr double served_after = 0.9;
+constexpr double min_served_share = 0.9;
 
-void check_reports(tests::entry_cluster const& world, soak_ledger& ledger)
+void check_reports(tests::entry_cluster const& cluster, soak_checker& checker)
 {
     std::vector<std::pair<std::uint64_t, std::string>> senders;
     std::vector<std::pair<std::int64_t, std::string>>  windows;
-    for (auto const& call : world.duty_requests())
+    for (auto const& call : cluster.duty_requests())
     {
         senders.emplace_back(call.token, call.holder);
         if (call.path == "/usage")
@@ -49,67 +50,66 @@
                                  call.body.at("counts").dump());
         }
     }
-    ledger.check_reports(senders, windows);
+    checker.check_reports(senders, windows);
 }
 
-/// Once all troubles have ended, nearly all calls are served within the time for
-/// recovery.
-void check_recovery(soak_ledger& ledger)
+/// Checks that 90 % of the calls are served again within 20 s after all faults ended.
+void check_recovery(soak_checker& checker)
 {
-    bool const well = tests::eventually(
+    bool const recovered = tests::eventually(
         [&]
         {
-            static_cast<void>(ledger.take_share());
+            static_cast<void>(checker.take_counts());
             std::this_thread::sleep_for(std::chrono::seconds{1});
-            auto const [asked, served] = ledger.take_share();
-            return asked > 0 && served >= served_after * asked;
+            auto const [sent, served] = checker.take_counts();
+            return sent > 0 && served >= min_served_share * sent;
         },
         recovery_ms);
-    if (!well)
+    if (!recovered)
     {
-        ledger.broken("calls are not served after all troubles have ended");
+        checker.add_violation("calls are not served again after all faults have ended");
     }
 }
 
-void keep_logs(tests::entry_cluster const& world, std::string const& folder,
-               std::uint64_t seed)
+void write_logs(tests::entry_cluster const& cluster, std::string const& folder,
+                std::uint64_t seed)
 {
     std::filesystem::create_directories(folder);
     for (int index = 0; index < vms; ++index)
     {
         std::ofstream file(folder + "/" + std::to_string(seed) + "-" +
                            std::to_string(index) + ".log");
-        file << world.output(index);
+        file << cluster.output(index);
     }
 }
 
-/// True if every promise was kept.
-bool play(std::uint64_t seed, soak_options const& options)
+/// Runs the soak with one seed. Returns true if no check failed.
+bool run_seed(std::uint64_t seed, soak_options const& options)
 {
-    soak_ledger          ledger;
-    server_mood          mood;
-    tests::entry_cluster world({.daemons = vms,
-                                .servers = 3,
-                                .bounds = "usage_window_s = 2\nlease_ms = 1500\n"
-                                          "key_life_ms = 5000\ngrace_s = 8\n",
-                                .relayed = true});
+    soak_checker         checker;
+    server_faults        injected;
+    tests::entry_cluster cluster({.daemons = vms,
+                                  .servers = 3,
+                                  .bounds = "usage_window_s = 2\nlease_ms = 1500\n"
+                                            "key_life_ms = 5000\ngrace_s = 8\n",
+                                  .relayed = true});
     for (int index = 0; index < 3; ++index)
     {
-        world.server(index).handle_always(
+        cluster.server(index).handle_always(
             [&](tests::wire_request const& request, tests::wire_connection& connection)
-            { return serve_soak(ledger, mood, request, connection); });
+            { return serve_soak(checker, injected, request, connection); });
     }
-    soak_troubles troubles(world, ledger, mood, seed);
+    soak_fault_schedule schedule(cluster, checker, injected, seed);
     {
-        soak_callers const load(world, ledger, callers, seed,
-                                [&](int) { return troubles.planned_only(); });
-        troubles.play(options.length);
-        check_recovery(ledger);
+        soak_callers const load(cluster, checker, callers, seed,
+                                [&](int) { return schedule.planned_only(); });
+        schedule.run(options.length);
+        check_recovery(checker);
     }
-    check_reports(world, ledger);
-    auto const violations = ledger.violations();
+    check_reports(cluster, checker);
+    auto const violations = checker.violations();
     std::cout << "seed " << seed << ": " << (violations.empty() ? "kept" : "BROKEN");
-    for (auto const& [status, count] : ledger.statuses())
+    for (auto const& [status, count] : checker.statuses())
     {
         std::cout << "  " << status << ": " << count;
     }
@@ -120,7 +120,7 @@
     }
     if (!violations.empty() && !options.keep.empty())
     {
-        keep_logs(world, options.keep, seed);
+        write_logs(cluster, options.keep, seed);
     }
     return violations.empty();
 }
@@ -155,7 +155,8 @@
         }
         else
         {
-            throw std::invalid_argument("see the head of entry_soak.cpp for the options");
+            throw std::invalid_argument(
+                "unknown option: the head of entry_soak.cpp lists the options");
         }
     }
     return options;
@@ -168,10 +169,10 @@
 {
     using namespace marigoldcrank::soak;
     auto const options = parse_options(count, words);
-    int        broken = 0;
+    int        failed_seeds = 0;
     for (auto seed = options.first; seed <= options.last; ++seed)
     {
-        broken += play(seed, options) ? 0 : 1;
+        failed_seeds += run_seed(seed, options) ? 0 : 1;
     }
-    return broken == 0 ? 0 : 1;
+    return failed_seeds == 0 ? 0 : 1;
 }
--- a/bench/entry_soak/soak_callers.cpp
+++ b/bench/entry_soak/soak_callers.cpp
@@ -1,4 +1,4 @@
-// One thread a caller.
+// Callers of the entry soak, one thread each.
 #include "soak_callers.hpp"
 
 #include <memory>
@@ -15,13 +15,14 @@
 
 } // namespace
 
-soak_callers::soak_callers(tests::entry_cluster& world, soak_ledger& ledger, int callers,
-                           std::uint64_t seed, std::function<bool(int)> planned_only)
-    : world_(world), ledger_(ledger), planned_only_(std::move(planned_only))
+soak_callers::soak_callers(tests::entry_cluster& cluster, soak_checker& checker,
+                           int callers, std::uint64_t seed,
+                           std::function<bool(int)> planned_only)
+    : cluster_(cluster), checker_(checker), planned_only_(std::move(planned_only))
 {
     for (int number = 0; number < callers; ++number)
     {
-        threads_.emplace_back([this, number, seed] { call_on(number, seed); });
+        threads_.emplace_back([this, number, seed] { call_until_stopped(number, seed); });
     }
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-void soak_callers::call_on(int number, std::uint64_t seed)
+void soak_callers::call_until_stopped(int number, std::uint64_t seed)
 {
     std::mt19937_64 random(seed * 1000 + static_cast<unsigned>(number));
     std::unique_ptr<tests::raw_caller> caller;
@@ -44,7 +45,7 @@
         if (!caller)
         {
             daemon = static_cast<int>(random() % daemons);
-            caller = std::make_unique<tests::raw_caller>(world_.caller_port(daemon));
+            caller = std::make_unique<tests::raw_caller>(cluster_.caller_port(daemon));
         }
         auto const id = std::to_string(seed) + "-" + std::to_string(number) + "-" +
                         std::to_string(call);
@@ -63,19 +64,19 @@
     auto const&   kind = classes[draw % classes.size()];
     auto const    key = draw / 8 % 3 == 0 ? "key-south" : "key-north";
     constexpr int deadline_ms = 4000;
-    ledger_.asked(id, kind, key);
+    checker_.on_sent(id, kind, key);
     caller.send(tests::make_request(
         {.path = std::string{kind.path} + "x",
          .id = id,
          .key = key,
-         .body = id, // alike calls may be taken for one that crashes servers
+         .body = id, // unique: equal bodies may be taken for a poison call
          .deadline_ms = deadline_ms}));
     auto const answer = caller.read(deadline_ms);
-    ledger_.answered(id, answer);
-    bool const cut = answer.status != 0 && !answer.complete;
-    if (cut && planned_only_(daemon))
+    checker_.on_response(id, answer);
+    bool const interrupted = answer.status != 0 && !answer.complete;
+    if (interrupted && planned_only_(daemon))
     {
-        ledger_.cut_by_planned_work(id);
+        checker_.on_planned_interruption(id);
     }
     auto const closes = answer.fields.find("connection");
     return answer.complete &&
--- a/bench/entry_soak/soak_callers.hpp
+++ b/bench/entry_soak/soak_callers.hpp
@@ -1,4 +1,4 @@
-// Callers of a soak: each keeps its connection until it ends.
+// Callers of the entry soak: each reuses its connection until the connection closes.
 //
 // Index: soak_callers
 #ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_CALLERS_HPP
@@ -18,21 +18,21 @@
 class soak_callers
 {
 public:
-    /// `planned_only(daemon)`: whether nothing but planned work has happened lately to
-    /// this daemon, so that a call it has read may not be cut.
-    soak_callers(tests::entry_cluster& world, soak_ledger& ledger, int callers,
+    /// `planned_only(daemon)` returns whether only planned work has affected the daemon
+    /// lately. A call that is interrupted then counts as a violation.
+    soak_callers(tests::entry_cluster& cluster, soak_checker& checker, int callers,
                  std::uint64_t seed, std::function<bool(int)> planned_only);
     ~soak_callers();
     soak_callers(soak_callers const&) = delete;
     soak_callers& operator=(soak_callers const&) = delete;
 
 private:
-    void call_on(int number, std::uint64_t seed);
+    void call_until_stopped(int number, std::uint64_t seed);
     bool call_once(tests::raw_caller& caller, int daemon, std::string const& id,
                    std::uint64_t draw);
 
-    tests::entry_cluster&    world_;
-    soak_ledger&             ledger_;
+    tests::entry_cluster&    cluster_;
+    soak_checker&            checker_;
     std::function<bool(int)> planned_only_;
     std::atomic<bool>        stopping_{false};
     std::vector<std::thread> threads_;
--- a/bench/entry_soak/soak_ledger.cpp
+++ b/bench/entry_soak/soak_ledger.cpp
@@ -1,4 +1,4 @@
-// Checks on single calls and on reports.
+// Checks of single calls and of usage reports.
 #include "soak_ledger.hpp"
 
 #include "soak_servers.hpp"
@@ -18,43 +18,43 @@
     return classes;
 }
 
-void soak_ledger::ran(tests::wire_request const& request)
+void soak_checker::on_run(tests::wire_request const& request)
 {
     std::lock_guard const lock{mutex_};
     auto const            id = request.field("request-id");
     auto const            found = calls_.find(id);
     if (found == calls_.end())
     {
-        violations_.push_back("a call ran that nobody asked for: " + id);
+        violations_.push_back("a server ran a call that no caller sent: " + id);
         return;
     }
     auto& call = found->second;
     ++call.runs;
     if (!request.field("authorization").empty())
     {
-        violations_.push_back("a server was told the key of " + id);
+        violations_.push_back("the caller's key was passed to the server for call " + id);
     }
     if (request.field("tenant") != workspace_of(call.key))
     {
-        violations_.push_back("wrong workspace for " + id);
+        violations_.push_back("wrong workspace at the server for call " + id);
     }
-    auto const dead = dead_keys_.find(call.key);
-    if (dead != dead_keys_.end() && soak_clock::now() > dead->second)
+    auto const withdrawn = withdrawn_keys_.find(call.key);
+    if (withdrawn != withdrawn_keys_.end() && soak_clock::now() > withdrawn->second)
     {
-        violations_.push_back("a withdrawn key still works: " + id);
+        violations_.push_back("a call ran with a withdrawn key: " + id);
     }
     check(id, call);
 }
 
-void soak_ledger::asked(std::string const& id, call_class const& kind,
-                        std::string const& key)
+void soak_checker::on_sent(std::string const& id, call_class const& kind,
+                           std::string const& key)
 {
     std::lock_guard const lock{mutex_};
     calls_[id] = {.kind = kind, .key = key};
-    ++asked_;
+    ++sent_;
 }
 
-void soak_ledger::answered(std::string const& id, tests::raw_response const& answer)
+void soak_checker::on_response(std::string const& id, tests::raw_response const& answer)
 {
     std::lock_guard const lock{mutex_};
     auto&                 call = calls_.at(id);
@@ -62,54 +62,57 @@
     bool const good = answer.status >= 200 && answer.status < 300;
     served_ += good && answer.complete ? 1 : 0;
     call.refused = call.refused || answer.status == 503 || answer.status == 429;
-    bool const torn = good && answer.complete && answer.body != body_of(id, call.kind);
-    if (torn)
+    bool const incomplete =
+        good && answer.complete && answer.body != body_of(id, call.kind);
+    if (incomplete)
     {
-        violations_.push_back("not the whole answer to " + id + ": " + answer.body);
+        violations_.push_back("wrong response body for call " + id + ": " + answer.body);
     }
     if (good && !tests::signed_by_server(answer))
     {
-        violations_.push_back("an answer without its signature: " + id);
+        violations_.push_back("response without the server's signature: " + id);
     }
     check(id, call);
 }
 
-void soak_ledger::check(std::string const& id, call_record const& call)
+void soak_checker::check(std::string const& id, call_record const& call)
 {
     if (!call.kind.repeatable && call.runs > 1)
     {
-        violations_.push_back("ran more than once: " + id);
+        violations_.push_back("non-repeatable call ran more than once: " + id);
     }
     if (!call.kind.repeatable && call.refused && call.runs > 0)
     {
-        violations_.push_back("refused as not run, and ran: " + id);
+        violations_.push_back("non-repeatable call was refused as not run, but ran: " +
+                              id);
     }
 }
 
-void soak_ledger::cut_by_planned_work(std::string const& id)
+void soak_checker::on_planned_interruption(std::string const& id)
 {
-    broken("a planned stop has cut " + id);
+    add_violation("call interrupted during planned work: " + id);
 }
 
-void soak_ledger::withdrawn(std::string const& key, std::chrono::milliseconds grace)
+void soak_checker::on_key_withdrawn(std::string const&        key,
+                                    std::chrono::milliseconds grace)
 {
     std::lock_guard const lock{mutex_};
-    dead_keys_[key] = soak_clock::now() + grace;
+    withdrawn_keys_[key] = soak_clock::now() + grace;
 }
 
-void soak_ledger::granted(std::string const& key)
+void soak_checker::on_key_granted(std::string const& key)
 {
     std::lock_guard const lock{mutex_};
-    dead_keys_.erase(key);
+    withdrawn_keys_.erase(key);
 }
 
-void soak_ledger::broken(std::string const& what)
+void soak_checker::add_violation(std::string const& what)
 {
     std::lock_guard const lock{mutex_};
     violations_.push_back(what);
 }
 
-void soak_ledger::check_reports(
+void soak_checker::check_reports(
     std::vector<std::pair<std::uint64_t, std::string>> const& senders,
     std::vector<std::pair<std::int64_t, std::string>> const&  windows)
 {
@@ -118,7 +121,7 @@
     {
         if (holders.try_emplace(token, holder).first->second != holder)
         {
-            broken("two holders with fencing token " + std::to_string(token));
+            add_violation("two holders used fencing token " + std::to_string(token));
         }
     }
     std::map<std::int64_t, std::string> figures;
@@ -126,24 +129,25 @@
     {
         if (figures.try_emplace(window, counts).first->second != counts)
         {
-            broken("window " + std::to_string(window) + " reported with two figures");
+            add_violation("window " + std::to_string(window) +
+                          " reported with different counts");
         }
     }
 }
 
-std::vector<std::string> soak_ledger::violations() const
+std::vector<std::string> soak_checker::violations() const
 {
     std::lock_guard const lock{mutex_};
     return violations_;
 }
 
-std::pair<int, int> soak_ledger::take_share()
+std::pair<int, int> soak_checker::take_counts()
 {
     std::lock_guard const lock{mutex_};
-    return {std::exchange(asked_, 0), std::exchange(served_, 0)};
+    return {std::exchange(sent_, 0), std::exchange(served_, 0)};
 }
 
-std::map<int, int> soak_ledger::statuses() const
+std::map<int, int> soak_checker::statuses() const
 {
     std::lock_guard const lock{mutex_};
     return statuses_;
--- a/bench/entry_soak/soak_ledger.hpp
+++ b/bench/entry_soak/soak_ledger.hpp
@@ -1,6 +1,6 @@
-// What servers and callers have seen during a soak, and which promises that breaks.
+// Checks of the entry soak: compares what servers and callers see, and lists violations.
 //
-// Index: 1 call_class, 2 soak_ledger
+// Index: 1 call_class, 2 soak_checker
 #ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_LEDGER_HPP
 #define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_LEDGER_HPP
 
@@ -18,7 +18,7 @@
 
 using soak_clock = std::chrono::steady_clock;
 
-/// What may be done with a call, by its path.
+/// Properties of a call that follow from its path.
 struct call_class
 {
     char const* path = "";
@@ -26,43 +26,43 @@
     bool        streamed = false;
 };
 
-/// All paths that callers ask for.
+/// The classes of all calls that callers send.
 std::vector<call_class> const& call_classes();
 
-/// Thread-safe. Promises are checked as soon as both sides are known.
-class soak_ledger
+/// Thread-safe. A call is checked whenever its server or its caller reports something.
+class soak_checker
 {
 public:
     /// A server begins to run a request.
-    void ran(tests::wire_request const& request);
+    void on_run(tests::wire_request const& request);
 
-    /// A caller has sent a call, with this key.
-    void asked(std::string const& id, call_class const& kind, std::string const& key);
+    /// A caller is about to send a call with this key.
+    void on_sent(std::string const& id, call_class const& kind, std::string const& key);
 
-    /// A caller has got an answer, or none (status 0).
-    void answered(std::string const& id, tests::raw_response const& answer);
+    /// A caller has received a response, or none (status 0).
+    void on_response(std::string const& id, tests::raw_response const& answer);
 
-    /// A daemon that was asked to stop has ended a call it had read without an answer,
-    /// while nothing but planned work was in progress.
-    void cut_by_planned_work(std::string const& id);
+    /// A call was interrupted in the middle of its response although only planned work,
+    /// such as a stop of the daemon, was in progress.
+    void on_planned_interruption(std::string const& id);
 
-    /// A key is withdrawn now; it must not work any more this much later.
-    void withdrawn(std::string const& key, std::chrono::milliseconds grace);
+    /// A key is withdrawn now; calls with it must not run once `grace` has passed.
+    void on_key_withdrawn(std::string const& key, std::chrono::milliseconds grace);
 
-    /// A key is in force again.
-    void granted(std::string const& key);
+    /// A withdrawn key is valid again.
+    void on_key_granted(std::string const& key);
 
-    /// Any other broken promise.
-    void broken(std::string const& what);
+    /// Adds a violation that was found elsewhere.
+    void add_violation(std::string const& what);
 
-    /// Promises about reports of usage.
+    /// Each fencing token must have one holder, and each usage window one set of counts.
     void check_reports(std::vector<std::pair<std::uint64_t, std::string>> const& senders,
                        std::vector<std::pair<std::int64_t, std::string>> const&  windows);
 
     std::vector<std::string> violations() const;
 
-    /// Calls asked, and those answered with success since the last time.
-    std::pair<int, int> take_share();
+    /// Calls sent and calls answered with success since the last call of this function.
+    std::pair<int, int> take_counts();
 
     std::map<int, int> statuses() const;
 
@@ -72,18 +72,19 @@
         call_class  kind;
         std::string key;
         int         runs = 0;
-        bool        refused = false; // as not run
+        bool        refused = false; // with status 429 or 503
     };
 
     void check(std::string const& id, call_record const& call);
 
-    mutable std::mutex                            mutex_;
-    std::map<std::string, call_record>            calls_;
-    std::map<std::string, soak_clock::time_point> dead_keys_; // from when on
-    std::map<int, int>                            statuses_;
-    std::vector<std::string>                      violations_;
-    int                                           asked_ = 0;
-    int                                           served_ = 0;
+    mutable std::mutex                 mutex_;
+    std::map<std::string, call_record> calls_;
+    std::map<std::string, soak_clock::time_point>
+                             withdrawn_keys_; // must not run from then on
+    std::map<int, int>       statuses_;
+    std::vector<std::string> violations_;
+    int                      sent_ = 0;
+    int                      served_ = 0;
 };
 
 } // namespace marigoldcrank::soak
--- a/bench/entry_soak/soak_servers.cpp
+++ b/bench/entry_soak/soak_servers.cpp
@@ -1,4 +1,4 @@
-// Answers in one piece and streams.
+// Plain and streamed responses of the backend servers.
 #include "soak_servers.hpp"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 using tests::server_standin;
 
-constexpr int events = 6;
+constexpr int event_count = 6;
 
 call_class class_of(tests::wire_request const& request)
 {
@@ -24,21 +24,21 @@
     return found == classes.end() ? call_class{} : *found;
 }
 
-std::chrono::milliseconds work_of(std::string const& id)
+std::chrono::milliseconds service_time(std::string const& id)
 {
     constexpr std::size_t longest_ms = 60;
     return std::chrono::milliseconds{std::hash<std::string>{}(id) % longest_ms};
 }
 
-bool serve_stream(server_mood const& mood, tests::wire_request const& request,
+bool serve_stream(server_faults const& faults, tests::wire_request const& request,
                   tests::wire_connection& connection)
 {
     auto const after = request.field("last-event-id");
     int const  first = after.empty() ? 1 : std::stoi(after) + 1;
     connection.send(server_standin::stream_head(request));
-    for (int number = first; number <= events; ++number)
+    for (int number = first; number <= event_count; ++number)
     {
-        if (mood.crashing && number == events / 2)
+        if (faults.crashing && number == event_count / 2)
         {
             connection.reset();
             return false;
@@ -64,30 +64,30 @@
         return "served " + id;
     }
     std::string body;
-    for (int number = 1; number <= events; ++number)
+    for (int number = 1; number <= event_count; ++number)
     {
         body += server_standin::event(number);
     }
     return body;
 }
 
-bool serve_soak(soak_ledger& ledger, server_mood const& mood,
+bool serve_soak(soak_checker& checker, server_faults const& faults,
                 tests::wire_request const& request, tests::wire_connection& connection)
 {
     auto const id = request.field("request-id");
     auto const kind = class_of(request);
-    if (mood.full)
+    if (faults.full)
     {
         connection.send(server_standin::not_executed_response(request));
         return true;
     }
-    ledger.ran(request);
-    std::this_thread::sleep_for(work_of(id));
+    checker.on_run(request);
+    std::this_thread::sleep_for(service_time(id));
     if (kind.streamed)
     {
-        return serve_stream(mood, request, connection);
+        return serve_stream(faults, request, connection);
     }
-    if (mood.crashing)
+    if (faults.crashing)
     {
         connection.reset();
         return false;
--- a/bench/entry_soak/soak_servers.hpp
+++ b/bench/entry_soak/soak_servers.hpp
@@ -1,6 +1,6 @@
-// How the backend servers of a soak answer.
+// Responses of the backend servers in the entry soak.
 //
-// Index: 1 workspace_of, 2 body_of, 3 serve_soak
+// Index: 1 server_faults, 2 workspace_of, 3 body_of, 4 serve_soak
 #ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_SERVERS_HPP
 #define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_SERVERS_HPP
 
@@ -13,21 +13,21 @@
 namespace marigoldcrank::soak
 {
 
-/// What servers do wrong, set from outside.
-struct server_mood
+/// Faults of all servers, switched on and off by the fault schedule.
+struct server_faults
 {
-    std::atomic<bool> crashing{false}; // ends connections in the middle of answers
-    std::atomic<bool> full{false};     // turns calls away as not run
+    std::atomic<bool> crashing{false}; // resets connections before or within responses
+    std::atomic<bool> full{false};     // refuses calls as not executed
 };
 
 /// The workspace that holds a key.
 std::string workspace_of(std::string const& key);
 
-/// The only right body of the answer to a call.
+/// The body that a complete response to the call has.
 std::string body_of(std::string const& id, call_class const& kind);
 
-/// Serves a call after some milliseconds, which its id decides, and notes the run.
-bool serve_soak(soak_ledger& ledger, server_mood const& mood,
+/// Records the run of a call and responds after 0 to 59 ms, depending on the call's id.
+bool serve_soak(soak_checker& checker, server_faults const& faults,
                 tests::wire_request const& request, tests::wire_connection& connection);
 
 } // namespace marigoldcrank::soak
--- a/bench/entry_soak/soak_troubles.cpp
+++ b/bench/entry_soak/soak_troubles.cpp
@@ -1,4 +1,4 @@
-// The kinds of trouble, and their schedule.
+// Kinds of faults and their schedule.
 #include "soak_troubles.hpp"
 
 #include <csignal>
@@ -15,19 +15,20 @@
 
 constexpr int          daemons = 3;
 constexpr int          servers = 3;
-constexpr milliseconds shortest{300};
-constexpr int          longest_ms = 4000; // beyond the shortest
-constexpr milliseconds quiet{6000}; // after unplanned trouble until cuts count again
+constexpr milliseconds min_fault_time{300};
+constexpr int          max_extra_fault_ms = 4000; // added to min_fault_time at most
+constexpr milliseconds settle_time{
+    6000}; // after an unplanned fault, until interrupted calls count as violations again
 constexpr milliseconds key_grace{5000};
-constexpr int          stop_ms = 12000; // a daemon drains for eight seconds at most
+constexpr int stop_timeout_ms = 12000; // a daemon drains for eight seconds at most
 
-struct store_spoil
+struct named_store_fault
 {
     char const*             name;
     tests::store_fault_kind kind;
 };
 
-constexpr std::array<store_spoil, 4> store_spoils{
+constexpr std::array<named_store_fault, 4> store_faults{
     {{"store-silent", tests::store_fault_kind::silent},
      {"store-refuses", tests::store_fault_kind::refusing},
      {"store-loses", tests::store_fault_kind::losing_responses},
@@ -35,8 +36,8 @@
 
 } // namespace
 
-/// What is done to the connections through one relay, and how it ends.
-struct relay_spoil
+/// One fault of the connections through a relay: its names, how it begins and ends.
+struct relay_fault
 {
     char const* at_store;
     char const* at_server;
@@ -47,7 +48,7 @@
 namespace
 {
 
-constexpr std::array<relay_spoil, 5> relay_spoils{
+constexpr std::array<relay_fault, 5> relay_faults{
     {{"store-delay", "server-delay",
       [](tests::tcp_relay& relay) { relay.delay(milliseconds{400}); },
       [](tests::tcp_relay& relay)
@@ -78,199 +79,204 @@
 
 } // namespace
 
-soak_troubles::soak_troubles(tests::entry_cluster& world, soak_ledger& ledger,
-                             server_mood& mood, std::uint64_t seed)
-    : world_(world), ledger_(ledger), mood_(mood), random_(seed)
+soak_fault_schedule::soak_fault_schedule(tests::entry_cluster& cluster,
+                                         soak_checker& checker, server_faults& injected,
+                                         std::uint64_t seed)
+    : cluster_(cluster), checker_(checker), server_faults_(injected), random_(seed)
 {
 }
 
-int soak_troubles::draw(int count)
+int soak_fault_schedule::random_below(int count)
 {
     return static_cast<int>(random_() % static_cast<unsigned>(count));
 }
 
-bool soak_troubles::planned_only() const
+bool soak_fault_schedule::planned_only() const
 {
-    auto const last = soak_clock::time_point{soak_clock::duration{unplanned_}};
-    return soak_clock::now() - last > quiet;
+    auto const last = soak_clock::time_point{soak_clock::duration{unplanned_until_}};
+    return soak_clock::now() - last > settle_time;
 }
 
-std::vector<soak_troubles::trouble> soak_troubles::kinds()
+std::vector<soak_fault_schedule::scheduled_fault> soak_fault_schedule::all_faults()
 {
-    std::vector<trouble> all{{"stop", true,
-                              [this]
-                              {
-                                  return stop_daemon();
-                              }},
-                             {"withdraw", true,
-                              [this]
-                              {
-                                  return withdraw_key();
-                              }},
-                             {"kill", false,
-                              [this]
-                              {
-                                  return kill_daemon();
-                              }},
-                             {"pause", false,
-                              [this]
-                              {
-                                  return pause_daemon();
-                              }},
-                             {"servers-crash", false,
-                              [this]
-                              {
-                                  return set(mood_.crashing);
-                              }},
-                             {"servers-full", false,
-                              [this]
-                              {
-                                  return set(mood_.full);
-                              }}};
-    for (auto const& spoil : store_spoils)
+    std::vector<scheduled_fault> all{{"stop", true,
+                                      [this]
+                                      {
+                                          return stop_daemon();
+                                      }},
+                                     {"withdraw", true,
+                                      [this]
+                                      {
+                                          return withdraw_key();
+                                      }},
+                                     {"kill", false,
+                                      [this]
+                                      {
+                                          return kill_daemon();
+                                      }},
+                                     {"pause", false,
+                                      [this]
+                                      {
+                                          return pause_daemon();
+                                      }},
+                                     {"servers-crash", false,
+                                      [this]
+                                      {
+                                          return set(server_faults_.crashing);
+                                      }},
+                                     {"servers-full", false,
+                                      [this]
+                                      {
+                                          return set(server_faults_.full);
+                                      }}};
+    for (auto const& fault : store_faults)
     {
-        all.push_back({spoil.name, false,
+        all.push_back({fault.name, false,
                        [&]
                        {
-                           return spoil_store(spoil.kind);
+                           return begin_store_fault(fault.kind);
                        }});
     }
-    for (auto const& spoil : relay_spoils)
+    for (auto const& fault : relay_faults)
     {
-        all.push_back({spoil.at_store, false,
+        all.push_back({fault.at_store, false,
                        [&]
                        {
-                           return spoil_relay(world_.store_relay(draw(daemons)), spoil);
+                           return begin_relay_fault(
+                               cluster_.store_relay(random_below(daemons)), fault);
                        }});
-        all.push_back({spoil.at_server, false,
+        all.push_back({fault.at_server, false,
                        [&]
                        {
-                           return spoil_relay(world_.server_relay(draw(servers)), spoil);
+                           return begin_relay_fault(
+                               cluster_.server_relay(random_below(servers)), fault);
                        }});
     }
     return all;
 }
 
-std::function<void()> soak_troubles::set(std::atomic<bool>& mood)
+std::function<void()> soak_fault_schedule::set(std::atomic<bool>& flag)
 {
-    mood = true;
-    return [&mood]
+    flag = true;
+    return [&flag]
     {
-        mood = false;
+        flag = false;
     };
 }
 
-std::function<void()> soak_troubles::spoil_relay(tests::tcp_relay&  relay,
-                                                 relay_spoil const& spoil)
+std::function<void()> soak_fault_schedule::begin_relay_fault(tests::tcp_relay&  relay,
+                                                             relay_fault const& fault)
 {
-    spoil.on(relay);
-    return [&relay, &spoil]
+    fault.on(relay);
+    return [&relay, &fault]
     {
-        spoil.off(relay);
+        fault.off(relay);
     };
 }
 
-std::function<void()> soak_troubles::stop_daemon()
+std::function<void()> soak_fault_schedule::stop_daemon()
 {
-    auto const index = draw(daemons);
-    if (touched_[static_cast<std::size_t>(index)])
+    auto const index = random_below(daemons);
+    if (disrupted_[static_cast<std::size_t>(index)])
     {
         return [] {
         };
     }
-    touched_[static_cast<std::size_t>(index)] = true;
-    world_.daemon(index).signal(SIGTERM);
+    disrupted_[static_cast<std::size_t>(index)] = true;
+    cluster_.daemon(index).signal(SIGTERM);
     return [this, index]
     {
-        if (world_.daemon(index).wait(stop_ms) < 0)
+        if (cluster_.daemon(index).wait(stop_timeout_ms) < 0)
         {
-            ledger_.broken("a stopped daemon does not end: " + std::to_string(index));
+            checker_.add_violation("daemon does not exit after SIGTERM: " +
+                                   std::to_string(index));
         }
-        world_.restart(index);
-        touched_[static_cast<std::size_t>(index)] = false;
+        cluster_.restart(index);
+        disrupted_[static_cast<std::size_t>(index)] = false;
     };
 }
 
-std::function<void()> soak_troubles::kill_daemon()
+std::function<void()> soak_fault_schedule::kill_daemon()
 {
-    auto const index = draw(daemons);
-    if (touched_[static_cast<std::size_t>(index)])
+    auto const index = random_below(daemons);
+    if (disrupted_[static_cast<std::size_t>(index)])
     {
         return [] {
         };
     }
-    touched_[static_cast<std::size_t>(index)] = true;
-    world_.daemon(index).signal(SIGKILL);
+    disrupted_[static_cast<std::size_t>(index)] = true;
+    cluster_.daemon(index).signal(SIGKILL);
     return [this, index]
     {
-        world_.restart(index);
-        touched_[static_cast<std::size_t>(index)] = false;
+        cluster_.restart(index);
+        disrupted_[static_cast<std::size_t>(index)] = false;
     };
 }
 
-std::function<void()> soak_troubles::pause_daemon()
+std::function<void()> soak_fault_schedule::pause_daemon()
 {
-    auto const index = draw(daemons);
-    if (touched_[static_cast<std::size_t>(index)])
+    auto const index = random_below(daemons);
+    if (disrupted_[static_cast<std::size_t>(index)])
     {
         return [] {
         };
     }
-    touched_[static_cast<std::size_t>(index)] = true;
-    world_.daemon(index).signal(SIGSTOP);
+    disrupted_[static_cast<std::size_t>(index)] = true;
+    cluster_.daemon(index).signal(SIGSTOP);
     return [this, index]
     {
-        world_.daemon(index).signal(SIGCONT);
-        touched_[static_cast<std::size_t>(index)] = false;
+        cluster_.daemon(index).signal(SIGCONT);
+        disrupted_[static_cast<std::size_t>(index)] = false;
     };
 }
 
-std::function<void()> soak_troubles::spoil_store(tests::store_fault_kind kind)
+std::function<void()> soak_fault_schedule::begin_store_fault(tests::store_fault_kind kind)
 {
-    world_.store().trouble(kind);
+    cluster_.store().trouble(kind);
     return [this]
     {
-        world_.store().trouble(tests::store_fault_kind::none);
+        cluster_.store().trouble(tests::store_fault_kind::none);
     };
 }
 
-std::function<void()> soak_troubles::withdraw_key()
+std::function<void()> soak_fault_schedule::withdraw_key()
 {
-    world_.configure(++version_, {"key-other"});
-    ledger_.withdrawn("key-north", key_grace);
+    cluster_.configure(++version_, {"key-other"});
+    checker_.on_key_withdrawn("key-north", key_grace);
     return [this]
     {
-        ledger_.granted("key-north");
-        world_.configure(++version_, {"key-north"});
+        checker_.on_key_granted("key-north");
+        cluster_.configure(++version_, {"key-north"});
     };
 }
 
-void soak_troubles::begin_one()
+void soak_fault_schedule::begin_random_fault()
 {
-    auto const  all = kinds();
-    auto const& kind = all[static_cast<std::size_t>(draw(static_cast<int>(all.size())))];
-    auto const  length = shortest + milliseconds{draw(longest_ms)};
-    auto const  now = soak_clock::now();
-    std::cout << "trouble " << kind.name << " for " << length.count() << " ms\n";
+    auto const  all = all_faults();
+    auto const& kind =
+        all[static_cast<std::size_t>(random_below(static_cast<int>(all.size())))];
+    auto const length = min_fault_time + milliseconds{random_below(max_extra_fault_ms)};
+    auto const now = soak_clock::now();
+    std::cout << "fault " << kind.name << " for " << length.count() << " ms\n";
     auto end = kind.begin();
     if (!kind.planned)
     {
-        unplanned_ = (now + length).time_since_epoch().count();
+        unplanned_until_ = (now + length).time_since_epoch().count();
     }
-    ends_.emplace(now + length, std::move(end));
+    pending_ends_.emplace(now + length, std::move(end));
 }
 
-void soak_troubles::end_due(soak_clock::time_point now)
+void soak_fault_schedule::end_due(soak_clock::time_point now)
 {
-    while (!ends_.empty() && ends_.begin()->first <= now)
+    while (!pending_ends_.empty() && pending_ends_.begin()->first <= now)
     {
-        auto const end = std::move(ends_.begin()->second);
-        ends_.erase(ends_.begin());
+        auto const end = std::move(pending_ends_.begin()->second);
+        pending_ends_.erase(pending_ends_.begin());
         end();
     }
 }
 
-void soak_troubles::play(std::chrono::seconds length)
+void soak_fault_schedule::run(std::chrono::seconds length)
 {
     auto const until = soak_clock::now() + length;
     auto       next = soak_clock::now();
@@ -279,10 +285,10 @@
         end_due(soak_clock::now());
         if (soak_clock::now() >= next)
         {
-            begin_one();
-            // Series of troubles close together, and pauses in which all is well.
-            bool const pause = draw(6) == 0;
-            next = soak_clock::now() + milliseconds{pause ? 7000 : draw(1200)};
+            begin_random_fault();
+            // Faults come in quick series, with pauses in which the cluster recovers.
+            bool const pause = random_below(6) == 0;
+            next = soak_clock::now() + milliseconds{pause ? 7000 : random_below(1200)};
         }
         std::this_thread::sleep_for(milliseconds{20});
     }
--- a/bench/entry_soak/soak_troubles.hpp
+++ b/bench/entry_soak/soak_troubles.hpp
@@ -1,6 +1,7 @@
-// Troubles of a soak, drawn from its seed: they come in series, overlap and end.
+// Faults and planned work of the entry soak, chosen at random from its seed. They come in
+// series and may overlap.
 //
-// Index: soak_troubles
+// Index: soak_fault_schedule
 #ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_TROUBLES_HPP
 #define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_TROUBLES_HPP
 
@@ -17,51 +18,52 @@
 namespace marigoldcrank::soak
 {
 
-struct relay_spoil;
+struct relay_fault;
 
-/// Runs in one thread. Everything is done from outside the daemons: by signals, at the
-/// relays, in the stand-ins.
-class soak_troubles
+/// Runs in one thread. All faults act from outside the daemons: by signals, at the relays
+/// and in the stand-ins.
+class soak_fault_schedule
 {
 public:
-    soak_troubles(tests::entry_cluster& world, soak_ledger& ledger, server_mood& mood,
-                  std::uint64_t seed);
+    soak_fault_schedule(tests::entry_cluster& cluster, soak_checker& checker,
+                        server_faults\& injected, std::uint64_t seed);
 
-    /// Begins and ends troubles for so long, then ends them all.
-    void play(std::chrono::seconds length);
+    /// Begins and ends faults for `length`, then ends those that are still active.
+    void run(std::chrono::seconds length);
 
-    /// Whether nothing unplanned has happened to any process or connection lately.
+    /// True if no unplanned fault has affected a process or connection in the last 6 s.
     bool planned_only() const;
 
 private:
-    struct trouble
+    struct scheduled_fault
     {
         char const*                            name;
         bool                                   planned;
-        std::function<std::function<void()>()> begin; // gives what ends it
+        std::function<std::function<void()>()> begin; // returns what ends it
     };
 
-    std::vector<trouble> kinds();
-    void                 begin_one();
-    void                 end_due(soak_clock::time_point now);
-    int                  draw(int count);
+    std::vector<scheduled_fault> all_faults();
+    void                         begin_random_fault();
+    void                         end_due(soak_clock::time_point now);
+    int                          random_below(int count);
 
     std::function<void()> stop_daemon();
     std::function<void()> kill_daemon();
     std::function<void()> pause_daemon();
-    std::function<void()> spoil_store(tests::store_fault_kind kind);
+    std::function<void()> begin_store_fault(tests::store_fault_kind kind);
     std::function<void()> withdraw_key();
-    std::function<void()> set(std::atomic<bool>& mood);
-    std::function<void()> spoil_relay(tests::tcp_relay& relay, relay_spoil const& spoil);
+    std::function<void()> set(std::atomic<bool>& flag);
+    std::function<void()> begin_relay_fault(tests::tcp_relay&  relay,
+                                            relay_fault const& fault);
 
-    tests::entry_cluster&                                        world_;
-    soak_ledger&                                                 ledger_;
-    server_mood&                                                 mood_;
+    tests::entry_cluster&                                        cluster_;
+    soak_checker&                                                checker_;
+    server_faults&                                               server_faults_;
     std::mt19937_64                                              random_;
-    std::multimap<soak_clock::time_point, std::function<void()>> ends_;
-    std::array<bool, 3>                                          touched_{}; // daemons
-    std::uint64_t                                                version_ = 1;
-    std::atomic<soak_clock::rep>                                 unplanned_{0};
+    std::multimap<soak_clock::time_point, std::function<void()>> pending_ends_;
+    std::array<bool, 3>          disrupted_{}; // by daemon: a fault acts on it
+    std::uint64_t                version_ = 1;
+    std::atomic<soak_clock::rep> unplanned_until_{0};
 };
 
 } // namespace marigoldcrank::soak
--- a/bench/replay.cpp
+++ b/bench/replay.cpp
@@ -1,8 +1,9 @@
-// replay: runs traces through the decision core and prints the policies side by side.
+// replay: replays traces with each policy and prints a table that compares the policies.
 //
 // Usage: replay [--measured | --series] TRACE...
-// With --series it prints what `marigoldcrank report` plots, of ours.
-// With --measured it prints instead the exact lines that traces/NAME.measured hold.
+// With --series it prints the time series of this project's policy, which
+// `marigoldcrank report` plots. With --measured it prints the exact lines of
+// traces/NAME.measured.
 #include "replay_table.hpp"
 
 #include <iostream>
--- a/bench/soak/soak.cpp
+++ b/bench/soak/soak.cpp
@@ -1,5 +1,6 @@
-// Soak test: nine entry VMs under both users' mixes while faults and planned changes come
-// at random from a printed seed; ends with an audit and exits 1 if it found anything.
+// Soak test: nine entry VMs serve both users' call mixes while faults and planned changes
+// are chosen at random from a printed seed. An audit follows; the exit code is 1 if it
+// finds a fault.
 //
 // Index: 1 command line, 2 report, 3 main
 #include "soak_audit.hpp"
@@ -24,8 +25,9 @@
 
 struct options
 {
-    std::uint64_t seed = std::random_device{}(); // random  printed, to run it again
-    double        minutes = 10;                  // 10      of faults
+    std::uint64_t seed =
+        std::random_device{}(); // random  printed so that a run can be repeated
+    double minutes = 10;        // 10      duration of the faults
 };
 
 options parse(int argc, char** argv)
@@ -57,8 +59,8 @@
     return result;
 }
 
-/// Entry VMs, engines and services as both users run them; the engines from 6 on are
-/// cheap and go a zone at a time.
+/// Nine entry VMs, twelve engines and three services. The engines from 6 on are cheap and
+/// are reclaimed by data centre.
 tests::fleet_options fleet_of_nine(soak::soak_keys const& keys)
 {
     tests::fleet_options result;
@@ -89,8 +91,8 @@
     line("soak_doubled", result.doubled, "requests");
     line("soak_wrong", result.wrong, "requests");
     line("soak_false_not_run", result.false_not_run, "requests");
-    line("soak_withdrawn_key_worked", result.withdrawn_worked, "requests");
-    line("soak_cut_by_planned", result.cut_by_planned, "requests");
+    line("soak_withdrawn_key_worked", result.accepted_withdrawn, "requests");
+    line("soak_cut_by_planned", result.unexplained_interruptions, "requests");
     line("soak_unbilled", result.unbilled_tokens, "tokens");
     line("soak_overbilled", result.overbilled_tokens, "tokens");
 }
--- a/bench/soak/soak_audit.cpp
+++ b/bench/soak/soak_audit.cpp
@@ -20,13 +20,13 @@
 
 constexpr int    engine_count = 12;
 constexpr int    service_count = 3;
-constexpr millis late_windows{3000};
-constexpr millis withdrawal_time{5000}; // "within seconds"
+constexpr millis late_window_wait{3000};
+constexpr millis max_withdrawal_delay{5000}; // a withdrawn key is refused after that
 
 // 1. Stand-ins
 
-/// Marks of model calls that reached an engine. An engine that was killed has forgotten
-/// what it received, so a false refusal can be missed here but never invented.
+/// Marks of model calls that reached an engine. A killed engine loses its records, so the
+/// audit can miss a false refusal but never reports one that did not happen.
 std::set<std::string> marks_at_engines(tests::fleet const& system)
 {
     std::set<std::string> marks;
@@ -43,7 +43,8 @@
     return marks;
 }
 
-/// How often each order reached a service; services are never killed here.
+/// How often each order reached a service. The count is exact because the soak test never
+/// kills services.
 std::map<std::string, int> runs_at_services(tests::fleet const& system)
 {
     std::map<std::string, int> runs;
@@ -64,22 +65,22 @@
                   std::map<std::string, int> const& runs, audit_result& result)
 {
     std::set<std::string> done;
-    std::set<std::string> doubtful;
+    std::set<std::string> possibly_run;
     for (auto const& call : calls)
     {
-        if (call.order && call.outcome == call_outcome::whole)
+        if (call.order && call.outcome == call_outcome::complete)
         {
             done.insert(call.mark);
         }
         if (call.order && call.outcome != call_outcome::not_run)
         {
-            doubtful.insert(call.mark);
+            possibly_run.insert(call.mark);
         }
     }
     for (auto const& [mark, count] : runs)
     {
         result.doubled += count > 1 ? 1 : 0;
-        result.false_not_run += doubtful.count(mark) == 0 ? 1 : 0;
+        result.false_not_run += possibly_run.count(mark) == 0 ? 1 : 0;
     }
     for (auto const& mark : done)
     {
@@ -107,18 +108,19 @@
     {
         bool const withdrawn =
             call.key >= 0 && keys.withdrawn_before(static_cast<std::size_t>(call.key),
-                                                   call.begun, withdrawal_time);
+                                                   call.begun, max_withdrawal_delay);
         bool const refused = call.outcome == call_outcome::not_run ||
-                             call.outcome == call_outcome::lost_caller;
-        result.withdrawn_worked += withdrawn && !refused ? 1 : 0;
+                             call.outcome == call_outcome::connection_lost;
+        result.accepted_withdrawn += withdrawn && !refused ? 1 : 0;
     }
 }
 
 // 3. Planned changes
 
-/// A call without a whole answer or a true refusal needs a fault as its reason. A fault
-/// counts from its start until the calm after it, and what began within it.
-bool has_reason(call_record const& call, std::vector<episode> const& episodes)
+/// True if the call overlaps an unplanned episode, which explains why it has neither a
+/// complete response nor a refusal. An episode includes the recovery time after its
+/// faults.
+bool overlaps_fault(call_record const& call, std::vector<episode> const& episodes)
 {
     return std::any_of(episodes.begin(), episodes.end(),
                        [&](episode const& each) {
@@ -133,35 +135,36 @@
     for (auto const& call : calls)
     {
         bool const unanswered = call.outcome == call_outcome::unknown ||
-                                call.outcome == call_outcome::lost_caller;
-        if (unanswered && !has_reason(call, episodes))
+                                call.outcome == call_outcome::connection_lost;
+        if (unanswered && !overlaps_fault(call, episodes))
         {
-            ++result.cut_by_planned;
-            std::cerr << "cut without a fault: " << call.mark << " at node " << call.node
-                      << "\n";
+            ++result.unexplained_interruptions;
+            std::cerr << "call interrupted without a fault: " << call.mark << " at node "
+                      << call.node << "\n";
         }
     }
 }
 
 // 4. Bills
 
-std::uint64_t whole_tokens(std::vector<call_record> const& calls)
+std::uint64_t complete_tokens(std::vector<call_record> const& calls)
 {
     std::uint64_t tokens = 0;
     for (auto const& call : calls)
     {
-        tokens += call.outcome == call_outcome::whole ? call.tokens : 0;
+        tokens += call.outcome == call_outcome::complete ? call.tokens : 0;
     }
     return tokens;
 }
 
-/// Tokens of calls that ended without a whole answer: billed for what ran, at most all.
+/// Tokens of calls without a complete response. They are billed for the tokens that were
+/// produced, at most for all of them.
 std::uint64_t partial_tokens(std::vector<call_record> const& calls)
 {
     std::uint64_t tokens = 0;
     for (auto const& call : calls)
     {
-        tokens += call.outcome == call_outcome::whole ? 0 : call.tokens;
+        tokens += call.outcome == call_outcome::complete ? 0 : call.tokens;
     }
     return tokens;
 }
@@ -169,29 +172,29 @@
 void check_bills(tests::fleet const& system, std::vector<call_record> const& calls,
                  audit_result& result)
 {
-    auto const    whole = whole_tokens(calls);
-    auto const    most = whole + partial_tokens(calls);
+    auto const    complete = complete_tokens(calls);
+    auto const    max_billable = complete + partial_tokens(calls);
     std::uint64_t reported = 0;
     tests::eventually(
         [&]
         {
             reported = tests::reported_tokens(system);
-            return reported >= whole;
+            return reported >= complete;
         });
-    // What would be billed twice comes in a later window than the first time.
-    std::this_thread::sleep_for(late_windows);
+    // Usage that is billed twice appears in a later window than the first time.
+    std::this_thread::sleep_for(late_window_wait);
     reported = tests::reported_tokens(system);
-    result.unbilled_tokens = reported < whole ? whole - reported : 0;
-    result.overbilled_tokens = reported > most ? reported - most : 0;
-    std::cerr << "tokens served whole " << whole << ", reported " << reported
-              << ", served at most " << most << "\n";
+    result.unbilled_tokens = reported < complete ? complete - reported : 0;
+    result.overbilled_tokens = reported > max_billable ? reported - max_billable : 0;
+    std::cerr << "tokens served completely " << complete << ", reported " << reported
+              << ", upper bound " << max_billable << "\n";
 }
 } // namespace
 
 std::uint64_t audit_result::faults() const
 {
-    return lost + doubled + wrong + false_not_run + withdrawn_worked + cut_by_planned +
-           unbilled_tokens + overbilled_tokens;
+    return lost + doubled + wrong + false_not_run + accepted_withdrawn +
+           unexplained_interruptions + unbilled_tokens + overbilled_tokens;
 }
 
 audit_result audit(tests::fleet const& system, soak_keys const& keys,
--- a/bench/soak/soak_faults.cpp
+++ b/bench/soak/soak_faults.cpp
@@ -22,11 +22,11 @@
 constexpr int    data_centres = 3;
 constexpr int    first_cheap = 6; // engines from here on are cheap
 constexpr int    stop_timeout_ms = 60'000;
-constexpr millis shortest{500};
-constexpr int    longest_more_ms = 3000;
-constexpr millis calm{3500}; // what a fault left behind shows before the next episode
-constexpr int    planned_in_ten = 4;
-constexpr int    pairs_in_ten = 3;
+constexpr millis min_fault_time{500};
+constexpr int    max_extra_fault_ms = 3000;
+constexpr millis recovery_time{3500}; // effects of a fault appear before the next episode
+constexpr int    planned_per_ten = 4;
+constexpr int    pairs_per_ten = 3;
 
 std::string engine_name(int index)
 {
@@ -35,15 +35,15 @@
 } // namespace
 
 soak_faults::soak_faults(tests::fleet& system, soak_keys& keys, std::uint64_t seed)
-    : system_(system), keys_(keys), source_(seed)
+    : system_(system), keys_(keys), random_(seed)
 {
 }
 
 // 1. Episodes
 
-int soak_faults::pick(int count)
+int soak_faults::random_below(int count)
 {
-    return static_cast<int>(source_() % static_cast<std::uint64_t>(count));
+    return static_cast<int>(random_() % static_cast<std::uint64_t>(count));
 }
 
 std::vector<episode> soak_faults::run(boot_clock::time_point until)
@@ -51,11 +51,11 @@
     std::vector<episode> episodes;
     while (boot_clock::now() < until)
     {
-        bool const         plan = pick(10) < planned_in_ten;
-        std::vector<fault> faults{plan ? planned() : unplanned()};
-        if (!plan && pick(10) < pairs_in_ten)
+        bool const         plan = random_below(10) < planned_per_ten;
+        std::vector<fault> faults{plan ? planned_change() : unplanned_fault()};
+        if (!plan && random_below(10) < pairs_per_ten)
         {
-            faults.push_back(unplanned());
+            faults.push_back(unplanned_fault());
         }
         episode now{.planned = plan, .begun = boot_clock::now()};
         for (auto const& each : faults)
@@ -63,12 +63,13 @@
             now.name += std::string{now.name.empty() ? "" : " + "} + each.name;
             each.begin();
         }
-        std::this_thread::sleep_for(shortest + millis{pick(longest_more_ms)});
+        std::this_thread::sleep_for(min_fault_time +
+                                    millis{random_below(max_extra_fault_ms)});
         for (auto const& each : faults)
         {
             each.end();
         }
-        std::this_thread::sleep_for(calm);
+        std::this_thread::sleep_for(recovery_time);
         now.ended = boot_clock::now();
         std::cerr << (plan ? "planned: " : "fault: ") << now.name << "\n";
         episodes.push_back(now);
@@ -76,9 +77,9 @@
     return episodes;
 }
 
-soak_faults::fault soak_faults::unplanned()
+soak_faults::fault soak_faults::unplanned_fault()
 {
-    switch (pick(5))
+    switch (random_below(5))
     {
     case 0:
         return node_fault();
@@ -89,13 +90,13 @@
     case 3:
         return platform_fault();
     default:
-        return reclaimed_zone();
+        return reclaimed_data_centre();
     }
 }
 
 // 2. Processes
 
-/// The other fault of a pair may have started it already.
+/// Starts the VM unless the other fault of a pair has started it already.
 void soak_faults::start_node(int node)
 {
     if (!system_.node(node).running())
@@ -114,8 +115,8 @@
 
 soak_faults::fault soak_faults::node_fault()
 {
-    int const node = pick(node_count);
-    if (pick(2) == 0)
+    int const node = random_below(node_count);
+    if (random_below(2) == 0)
     {
         return {"entry VM killed", false,
                 [this, node]
@@ -138,8 +139,8 @@
 
 soak_faults::fault soak_faults::engine_fault()
 {
-    int const engine = pick(engine_count);
-    if (pick(2) == 0)
+    int const engine = random_below(engine_count);
+    if (random_below(2) == 0)
     {
         return {"engine killed", false,
                 [this, engine] { system_.engine(engine).signal(SIGKILL); },
@@ -156,21 +157,21 @@
             }};
 }
 
-/// Cheap engines of one zone go in the same moment; new ones come later.
-soak_faults::fault soak_faults::reclaimed_zone()
+/// All cheap engines of one data centre are killed at once and replaced later.
+soak_faults::fault soak_faults::reclaimed_data_centre()
 {
-    int const zone = pick(data_centres);
-    auto      each = [zone](auto const& act)
+    int const data_centre = random_below(data_centres);
+    auto      each = [data_centre](auto const& act)
     {
         for (int engine = first_cheap; engine < engine_count; ++engine)
         {
-            if (engine % data_centres == zone)
+            if (engine % data_centres == data_centre)
             {
                 act(engine);
             }
         }
     };
-    return {"zone reclaimed", false,
+    return {"cheap engines of a data centre reclaimed", false,
             [this, each]
             { each([this](int engine) { system_.engine(engine).signal(SIGKILL); }); },
             [this, each]
@@ -185,26 +186,29 @@
 {
     auto const nothing = [] {
     };
-    switch (pick(5))
+    switch (random_below(5))
     {
     case 0:
         return {"engine connections silent", false,
-                [this] { system_.engine_relay(pick(engine_count)).silence_open(); },
+                [this]
+                { system_.engine_relay(random_below(engine_count)).silence_open(); },
                 nothing};
     case 1:
         return {"service connections silent", false,
-                [this] { system_.service_relay(pick(service_count)).silence_open(); },
+                [this]
+                { system_.service_relay(random_below(service_count)).silence_open(); },
                 nothing};
     case 2:
         return {"peer connections silent", false,
-                [this] { system_.peer_relay(pick(node_count)).silence_open(); }, nothing};
+                [this] { system_.peer_relay(random_below(node_count)).silence_open(); },
+                nothing};
     case 3:
         return {"platform connections silent", false,
                 [this] { system_.platform_relay().silence_open(); }, nothing};
     default:
         break;
     }
-    int const where = pick(data_centres);
+    int const where = random_below(data_centres);
     return {"data centre cut off", false, [this, where] { cut_data_centre(where, true); },
             [this, where]
             {
@@ -212,8 +216,8 @@
             }};
 }
 
-/// Node, engine and service i stand in data centre i mod 3. Nothing passes between it and
-/// the others or the platform.
+/// Starts or ends a network partition between a data centre and the others with the
+/// platform. Entry VM, engine and service i are in data centre i mod 3.
 void soak_faults::cut_data_centre(int data_centre, bool on)
 {
     std::set<std::string> inside;
@@ -247,7 +251,7 @@
 soak_faults::fault soak_faults::platform_fault()
 {
     auto const platform = system_.platform_port();
-    auto const service = system_.service_port(pick(service_count));
+    auto const service = system_.service_port(random_below(service_count));
     auto const set = [this](int port, char const* kind, int count)
     {
         return [this, port, kind, count]
@@ -262,17 +266,17 @@
             system_.fault(port, {{"kind", "none"}});
         };
     };
-    switch (pick(5))
+    switch (random_below(5))
     {
     case 0:
         return {"platform out", false, set(platform, "outage", -1), clear(platform)};
     case 1:
-        return {"platform's answers lost", false, set(platform, "drop_answer", 60),
+        return {"platform's responses lost", false, set(platform, "drop_answer", 60),
                 clear(platform)};
     case 2:
         return {"appends late", false, set(platform, "late", 20), clear(platform)};
     case 3:
-        return {"service's answers lost", false, set(service, "drop_answer", 5),
+        return {"service's responses lost", false, set(service, "drop_answer", 5),
                 clear(service)};
     default:
         return {"service silent after taking effect", false, set(service, "silent", 5),
@@ -282,12 +286,12 @@
 
 // 5. Planned changes
 
-soak_faults::fault soak_faults::planned()
+soak_faults::fault soak_faults::planned_change()
 {
-    int const  node = pick(node_count);
-    int const  engine = pick(engine_count);
-    auto const centre = "dc-" + std::to_string(pick(data_centres) + 1);
-    switch (pick(5))
+    int const  node = random_below(node_count);
+    int const  engine = random_below(engine_count);
+    auto const data_centre = "dc-" + std::to_string(random_below(data_centres) + 1);
+    switch (random_below(5))
     {
     case 0:
         return {"entry VM drained and replaced", true,
@@ -306,10 +310,10 @@
                 }};
     case 2:
         return {"data centre drained", true,
-                [this, centre] { drain("data_centre", centre, true); },
-                [this, centre]
+                [this, data_centre] { drain("data_centre", data_centre, true); },
+                [this, data_centre]
                 {
-                    drain("data_centre", centre, false);
+                    drain("data_centre", data_centre, false);
                 }};
     case 3:
         return withdrawn_key();
@@ -318,11 +322,12 @@
     }
 }
 
-/// The list says that a VM leaves; it goes a few seconds later, when its work has ended.
+/// The VM list announces that a VM leaves. The VM is killed 5 s later, when its work has
+/// ended.
 soak_faults::fault soak_faults::leaving_engine()
 {
     constexpr millis notice{5000};
-    int const        engine = pick(engine_count);
+    int const        engine = random_below(engine_count);
     return {"VM leaving and replaced", true,
             [this, engine, notice]
             {
@@ -338,7 +343,8 @@
             }};
 }
 
-/// The last key stays, so that spare keys work to the end.
+/// Withdraws the next spare key, but never the last one, so that callers always have a
+/// valid spare key.
 soak_faults::fault soak_faults::withdrawn_key()
 {
     return {"key withdrawn", true,
@@ -352,9 +358,9 @@
                 tests::eventually(
                     [&]
                     {
-                        auto const answer =
-                            system_.admin_post(pick(node_count), "/admin/keys/withdraw",
-                                               {{"key_id", keys_.id(key)}});
+                        auto const answer = system_.admin_post(
+                            random_below(node_count), "/admin/keys/withdraw",
+                            {{"key_id", keys_.id(key)}});
                         return answer.value("outcome", "") == "withdrawn";
                     });
                 keys_.note_withdrawn(key);
@@ -368,7 +374,7 @@
     auto const accepted = [&]
     {
         auto const answer =
-            system_.admin_post(pick(node_count), "/admin/servers/drain",
+            system_.admin_post(random_below(node_count), "/admin/servers/drain",
                                {{"scope", scope}, {"name", name}, {"drained", drained}});
         return answer.value("outcome", "") == "accepted";
     };
--- a/bench/soak/soak_faults.hpp
+++ b/bench/soak/soak_faults.hpp
@@ -1,4 +1,4 @@
-// Faults and planned changes of the soak test, one after another and in pairs.
+// Faults, alone or in pairs, and planned changes of the soak test, one after another.
 //
 // Index: 1 episode, 2 soak_faults
 #ifndef MARIGOLDCRANK_BENCH_SOAK_FAULTS_HPP
@@ -17,7 +17,7 @@
 namespace marigoldcrank::soak
 {
 
-/// One fault, one pair of them, or one planned change, with the calm after it.
+/// One fault, two faults at once or one planned change, with the recovery time after it.
 struct episode
 {
     std::string            name;
@@ -26,13 +26,13 @@
     boot_clock::time_point ended{};
 };
 
-/// Runs episodes drawn from the seed.
+/// Runs episodes that are chosen at random from the seed.
 class soak_faults
 {
 public:
     soak_faults(tests::fleet& system, soak_keys& keys, std::uint64_t seed);
 
-    /// Until this time; every fault is mended when it returns.
+    /// Starts episodes until the given time. All faults have ended when it returns.
     std::vector<episode> run(boot_clock::time_point until);
 
 private:
@@ -44,16 +44,16 @@
         std::function<void()> end;
     };
 
-    int   pick(int count);
-    fault unplanned();
+    int   random_below(int count);
+    fault unplanned_fault();
     fault node_fault();
     fault engine_fault();
     fault connection_fault();
     fault platform_fault();
-    fault planned();
+    fault planned_change();
     fault leaving_engine();
     fault withdrawn_key();
-    fault reclaimed_zone();
+    fault reclaimed_data_centre();
     void  start_node(int node);
     void  start_engine(int engine);
     void  cut_data_centre(int data_centre, bool on);
@@ -62,7 +62,7 @@
     tests::fleet&   system_;
     soak_keys&      keys_;
     std::size_t     next_key_ = 0;
-    std::mt19937_64 source_;
+    std::mt19937_64 random_;
 };
 
 } // namespace marigoldcrank::soak
--- a/bench/soak/soak_keys.hpp
+++ b/bench/soak/soak_keys.hpp
@@ -15,8 +15,8 @@
 namespace marigoldcrank::soak
 {
 
-/// Made before the fleet, since the first rules name them. Safe to use from several
-/// threads.
+/// The keys exist before the fleet because the fleet's first rules contain them.
+/// Thread-safe.
 class soak_keys
 {
 public:
@@ -29,7 +29,7 @@
         withdrawn_.resize(count);
     }
 
-    /// Lines for the rules file.
+    /// The [keys] section of the rules file.
     std::string rules() const
     {
         std::string text = "[keys]\n";
@@ -64,7 +64,7 @@
         withdrawn_.at(index) = boot_clock::now();
     }
 
-    /// True if the key had been withdrawn for `margin` when the call began.
+    /// True if the key had been withdrawn for longer than `margin` when the call began.
     bool withdrawn_before(std::size_t index, boot_clock::time_point begun,
                           millis margin) const
     {
--- a/bench/soak/soak_load.cpp
+++ b/bench/soak/soak_load.cpp
@@ -13,13 +13,14 @@
 {
 using nlohmann::json;
 
-constexpr int    model_callers = 16;
-constexpr int    order_callers = 6;
-constexpr int    patience_s = 45;     // beyond the deadline and all pauses
-constexpr int    spare_key_share = 4; // one call in so many uses one
-constexpr millis readiness_every{300};
-constexpr millis thinking{20};
-constexpr millis order_thinking{60};
+constexpr int model_callers = 16;
+constexpr int order_callers = 6;
+constexpr int call_timeout_s = 45; // longer than the deadline and all pauses
+constexpr int spare_key_share =
+    4; // one of so many of the first user's calls uses a spare key
+constexpr millis readiness_interval{300};
+constexpr millis model_call_pause{20};
+constexpr millis order_pause{60};
 } // namespace
 
 // 1. Threads
@@ -41,7 +42,7 @@
                 [this, call, pause, index,
                  source = random(seed + threads_.size())]() mutable
                 {
-                    while (!over_)
+                    while (!stopping_)
                     {
                         (this->*call)(source, index % 2 == 0);
                         std::this_thread::sleep_for(pause);
@@ -49,8 +50,8 @@
                 });
         }
     };
-    add(model_callers, &soak_load::ask, thinking);
-    add(order_callers, &soak_load::order, order_thinking);
+    add(model_callers, &soak_load::send_model_call, model_call_pause);
+    add(order_callers, &soak_load::place_order, order_pause);
 }
 
 soak_load::~soak_load()
@@ -60,7 +61,7 @@
 
 std::vector<call_record> soak_load::stop()
 {
-    over_ = true;
+    stopping_ = true;
     for (auto& thread : threads_)
     {
         thread.join();
@@ -69,7 +70,7 @@
     return records_;
 }
 
-void soak_load::keep(call_record record)
+void soak_load::add_record(call_record record)
 {
     record.ended = boot_clock::now();
     std::lock_guard const lock(mutex_);
@@ -80,17 +81,17 @@
 
 void soak_load::watch_readiness()
 {
-    while (!over_)
+    while (!stopping_)
     {
         for (int node = 0; node < node_count; ++node)
         {
             httplib::Client client("127.0.0.1", system_.node_port(node));
-            client.set_connection_timeout(readiness_every);
-            client.set_read_timeout(readiness_every);
+            client.set_connection_timeout(readiness_interval);
+            client.set_read_timeout(readiness_interval);
             auto const answer = client.Get("/readyz");
             ready_[static_cast<std::size_t>(node)] = answer && answer->status == 200;
         }
-        std::this_thread::sleep_for(readiness_every);
+        std::this_thread::sleep_for(readiness_interval);
     }
 }
 
@@ -110,23 +111,23 @@
 
 // 3. Model calls
 
-/// Sportdag: a line for a child, short prompt and short answer. Cwmtawe: a claim bundle,
-/// long prompt, the answer short for a check and long for a report.
-void soak_load::ask(random& source, bool sportdag)
+/// Calls of workspace north have short prompts and short responses. Those of south have
+/// long prompts and a response that is short for a check and long for a report.
+void soak_load::send_model_call(random& source, bool north)
 {
     call_record           record{.mark = "request " + std::to_string(++next_) + " ",
-                                 .workspace = sportdag ? "north" : "south"};
+                                 .workspace = north ? "north" : "south"};
     tests::model_question question{.workspace = record.workspace,
                                    .prompt = record.mark,
                                    .tokens = 30,
                                    .stream = source() % 4 != 0,
-                                   .timeout_s = patience_s};
-    if (!sportdag)
+                                   .timeout_s = call_timeout_s};
+    if (!north)
     {
         question.prompt += std::string(2000 + source() % 4000, 'x');
         question.tokens = source() % 5 == 0 ? 300 : 10;
     }
-    if (sportdag && source() % spare_key_share == 0)
+    if (north && source() % spare_key_share == 0)
     {
         record.key = static_cast<int>(source() % keys_.count());
         question.key = keys_.bearer(static_cast<std::size_t>(record.key));
@@ -135,38 +136,38 @@
     record.tokens = static_cast<std::uint64_t>(question.tokens);
     record.begun = boot_clock::now();
     auto const answer = tests::call_model(system_, record.node, question);
-    bool const patient =
-        boot_clock::now() - record.begun < std::chrono::seconds(patience_s);
-    record.outcome = answer.whole(question)     ? call_outcome::whole
+    bool const in_time =
+        boot_clock::now() - record.begun < std::chrono::seconds(call_timeout_s);
+    record.outcome = answer.whole(question)     ? call_outcome::complete
                      : answer.ended             ? call_outcome::wrong
                      : answer.fate == "not_run" ? call_outcome::not_run
                      : !answer.fate.empty()     ? call_outcome::unknown
-                     : patient                  ? call_outcome::lost_caller
+                     : in_time                  ? call_outcome::connection_lost
                                                 : call_outcome::hung;
-    keep(std::move(record));
+    add_record(std::move(record));
 }
 
 // 4. Orders
 
-/// A print order or a submission. With a key, the caller sends it again through another
-/// entry VM when its fate is not known, as a cautious client does.
-void soak_load::order(random& source, bool sportdag)
+/// Sends an order. With an idempotency key, the caller sends it again through a newly
+/// chosen entry VM when the outcome is unknown.
+void soak_load::place_order(random& source, bool north)
 {
     auto const mark = "order-" + std::to_string(++next_);
     bool const keyed = source() % 2 == 0;
-    auto const workspace = sportdag ? "north" : "south";
+    auto const workspace = north ? "north" : "south";
     auto       record = send_order(workspace, mark, keyed, pick_node(source));
     auto const begun = record.begun;
     bool const again = keyed && (record.outcome == call_outcome::unknown ||
-                                 record.outcome == call_outcome::lost_caller);
-    keep(std::move(record));
+                                 record.outcome == call_outcome::connection_lost);
+    add_record(std::move(record));
     if (again)
     {
-        // What it is told is the fate of the first try, so that one's faults count for
-        // it.
+        // The second response reports the outcome of the first attempt, so faults during
+        // the first attempt count for it as well.
         auto second = send_order(workspace, mark, keyed, pick_node(source));
         second.begun = begun;
-        keep(std::move(second));
+        add_record(std::move(second));
     }
 }
 
@@ -176,7 +177,7 @@
     call_record record{.mark = mark, .workspace = workspace, .node = node, .order = true};
     record.begun = boot_clock::now();
     httplib::Client client("127.0.0.1", system_.node_port(node));
-    client.set_read_timeout(patience_s);
+    client.set_read_timeout(call_timeout_s);
     httplib::Headers headers{{"Authorization", "Bearer " + system_.key(workspace)}};
     if (keyed)
     {
@@ -184,17 +185,17 @@
     }
     auto const answer = client.Post("/services/ordering/orders", headers,
                                     json{{"mark", mark}}.dump(), "application/json");
-    bool const patient =
-        boot_clock::now() - record.begun < std::chrono::seconds(patience_s);
+    bool const in_time =
+        boot_clock::now() - record.begun < std::chrono::seconds(call_timeout_s);
     if (!answer)
     {
-        record.outcome = patient ? call_outcome::lost_caller : call_outcome::hung;
+        record.outcome = in_time ? call_outcome::connection_lost : call_outcome::hung;
         return record;
     }
     auto const body = json::parse(answer->body, nullptr, false);
     auto const error = body.is_object() ? body.value("error", json::object()) : json();
     auto const fate = error.is_object() ? error.value("fate", "") : "";
-    record.outcome = answer->status == 200 ? call_outcome::whole
+    record.outcome = answer->status == 200 ? call_outcome::complete
                      : fate == "not_run"   ? call_outcome::not_run
                                            : call_outcome::unknown;
     return record;
--- a/bench/soak/soak_load.hpp
+++ b/bench/soak/soak_load.hpp
@@ -1,4 +1,5 @@
-// Callers of the soak test: both users' mixes over a balancer that learns late.
+// Callers of the soak test: both users' call mixes, sent through a load balancer that
+// learns of readiness changes with a delay.
 //
 // Index: 1 call_outcome, 2 call_record, 3 soak_load
 #ifndef MARIGOLDCRANK_BENCH_SOAK_LOAD_HPP
@@ -23,32 +24,33 @@
 /// How one request ended for its caller.
 enum class call_outcome
 {
-    whole,       // the whole answer with its end marker
-    not_run,     // refused, and said not to have run
-    unknown,     // refused, and its fate said to be unknown or final
-    lost_caller, // the connection to the entry VM broke, which leaves its fate unknown
-    wrong,       // looks whole and is not
-    hung         // nothing at all within the caller's patience
+    complete,        // complete response with its end marker
+    not_run,         // refused and reported as not run
+    unknown,         // refused, with its outcome reported as unknown or final
+    connection_lost, // the connection to the entry VM broke, so the outcome is unknown
+    wrong,           // has an end marker but wrong content
+    hung             // no response within the caller's timeout
 };
 
 constexpr std::size_t outcome_count = 6;
 
-/// One request as its caller saw it. A keyed order that is sent again is one record a
-/// try.
+/// One request as its caller saw it. A keyed order that is sent again has a record for
+/// each attempt.
 struct call_record
 {
-    std::string            mark; // in the prompt or body, to be found at the stand-ins
+    std::string
+        mark; // unique text in the prompt or body, found in the records of the stand-ins
     std::string            workspace;
     int                    node = 0;
-    bool                   order = false; // may not be repeated
+    bool                   order = false; // must not run twice
     call_outcome           outcome = call_outcome::hung;
-    std::uint64_t          tokens = 0; // asked for
-    int                    key = -1;   // of soak_keys; -1 for the workspace's own
+    std::uint64_t          tokens = 0; // requested
+    int                    key = -1; // index in soak_keys; -1 for the workspace's own key
     boot_clock::time_point begun{};
     boot_clock::time_point ended{};
 };
 
-/// Calls until stopped.
+/// Sends calls from its own threads until it is stopped.
 class soak_load
 {
 public:
@@ -64,15 +66,15 @@
 
     void        watch_readiness();
     int         pick_node(random& source) const;
-    void        ask(random& source, bool sportdag);
-    void        order(random& source, bool sportdag);
+    void        send_model_call(random& source, bool north);
+    void        place_order(random& source, bool north);
     call_record send_order(std::string const& workspace, std::string const& mark,
                            bool keyed, int node);
-    void        keep(call_record record);
+    void        add_record(call_record record);
 
     tests::fleet const&                       system_;
     soak_keys const&                          keys_;
-    std::atomic<bool>                         over_{false};
+    std::atomic<bool>                         stopping_{false};
     std::array<std::atomic<bool>, node_count> ready_{};
     std::atomic<std::uint64_t>                next_{0};
     std::mutex                                mutex_;
--- a/bench/sweep.cpp
+++ b/bench/sweep.cpp
@@ -1,7 +1,8 @@
-// sweep: goodput of ours over all traces for a range of each constant.
+// sweep: goodput of this project's policy over all traces for a range of each constant.
 //
-// Usage: sweep TRACE... Prints one table a constant: mean and least share of offered
-// requests that met their targets, worst-served workspace, role changes, price.
+// Usage: sweep TRACE... Prints one table for each constant: mean and minimum share of
+// offered requests that met their targets, worst-served workspace, role changes and
+// price.
 #include "replay_table.hpp"
 
 #include <functional>
