--- a/bench/entry_soak/soak_ledger.hpp
+++ b/bench/entry_soak/soak_ledger.hpp
@@ -72,19 +72,18 @@
         call_class  kind;
         std::string key;
         int         runs = 0;
-        bool        refused = false; // with status 429 or 503
+        bool        refused = false; // as not run: 429 or 503
     };
 
     void check(std::string const& id, call_record const& call);
 
-    mutable std::mutex                 mutex_;
-    std::map<std::string, call_record> calls_;
-    std::map<std::string, soak_clock::time_point>
-                             withdrawn_keys_; // must not run from then on
-    std::map<int, int>       statuses_;
-    std::vector<std::string> violations_;
-    int                      sent_ = 0;
-    int                      served_ = 0;
+    mutable std::mutex                            mutex_;
+    std::map<std::string, call_record>            calls_;
+    std::map<std::string, soak_clock::time_point> withdrawn_keys_; // rejected since
+    std::map<int, int>                            statuses_;
+    std::vector<std::string>                      violations_;
+    int                                           sent_ = 0;
+    int                                           served_ = 0;
 };
 
 } // namespace marigoldcrank::soak
--- a/bench/entry_soak/soak_troubles.hpp
+++ b/bench/entry_soak/soak_troubles.hpp
@@ -26,7 +26,7 @@
 {
 public:
     soak_fault_schedule(tests::entry_cluster& cluster, soak_checker& checker,
-                        server_faults\& injected, std::uint64_t seed);
+                        server_faults& injected, std::uint64_t seed);
 
     /// Begins and ends faults for `length`, then ends those that are still active.
     void run(std::chrono::seconds length);
@@ -61,7 +61,7 @@
     server_faults&                                               server_faults_;
     std::mt19937_64                                              random_;
     std::multimap<soak_clock::time_point, std::function<void()>> pending_ends_;
-    std::array<bool, 3>          disrupted_{}; // by daemon: a fault acts on it
+    std::array<bool, 3>          disrupted_{}; // by daemon
     std::uint64_t                version_ = 1;
     std::atomic<soak_clock::rep> unplanned_until_{0};
 };
--- a/bench/soak/soak.cpp
+++ b/bench/soak/soak.cpp
@@ -25,9 +25,8 @@
 
 struct options
 {
-    std::uint64_t seed =
-        std::random_device{}(); // random  printed so that a run can be repeated
-    double minutes = 10;        // 10      duration of the faults
+    std::uint64_t seed = std::random_device{}(); // random  printed, for repeating the run
+    double        minutes = 10;                  // 10      duration of the faults
 };
 
 options parse(int argc, char** argv)
--- a/bench/soak/soak_audit.hpp
+++ b/bench/soak/soak_audit.hpp
@@ -22,11 +22,9 @@
     std::uint64_t lost = 0;    // calls that hung, and orders reported done that never ran
     std::uint64_t doubled = 0; // orders that ran more than once
     std::uint64_t wrong = 0;   // responses with an end marker but wrong content
-    std::uint64_t false_not_run = 0; // reported as not run, but reached a server
-    std::uint64_t accepted_withdrawn =
-        0; // calls accepted with a key withdrawn over 5 s before
-    std::uint64_t unexplained_interruptions =
-        0; // calls without a response or refusal while no fault was active
+    std::uint64_t false_not_run = 0;      // reported as not run, but reached a server
+    std::uint64_t accepted_withdrawn = 0; // calls with a key withdrawn 5 s before
+    std::uint64_t unexplained_interruptions = 0; // unanswered without a fault
     std::uint64_t unbilled_tokens = 0;   // served completely, but in no usage report
     std::uint64_t overbilled_tokens = 0; // reported beyond all that callers asked for
 
--- a/bench/soak/soak_load.cpp
+++ b/bench/soak/soak_load.cpp
@@ -13,11 +13,10 @@
 {
 using nlohmann::json;
 
-constexpr int model_callers = 16;
-constexpr int order_callers = 6;
-constexpr int call_timeout_s = 45; // longer than the deadline and all pauses
-constexpr int spare_key_share =
-    4; // one of so many of the first user's calls uses a spare key
+constexpr int    model_callers = 16;
+constexpr int    order_callers = 6;
+constexpr int    call_timeout_s = 45; // longer than the deadline and all pauses
+constexpr int    spare_key_share = 4; // one in 4 calls of workspace north uses one
 constexpr millis readiness_interval{300};
 constexpr millis model_call_pause{20};
 constexpr millis order_pause{60};
--- a/bench/soak/soak_load.hpp
+++ b/bench/soak/soak_load.hpp
@@ -38,8 +38,7 @@
 /// each attempt.
 struct call_record
 {
-    std::string
-        mark; // unique text in the prompt or body, found in the records of the stand-ins
+    std::string            mark; // in the prompt or body; sought at the stand-ins
     std::string            workspace;
     int                    node = 0;
     bool                   order = false; // must not run twice
