--- a/bench/entry_soak/soak_troubles.cpp
+++ b/bench/entry_soak/soak_troubles.cpp
@@ -17,7 +17,7 @@
 constexpr int          servers = 3;
 constexpr milliseconds min_fault_time{300};
 constexpr int          max_extra_fault_ms = 4000; // beyond min_fault_time
-constexpr milliseconds settle_time{6000}; // after unplanned faults; then checks resume
+constexpr milliseconds settle_time{6000};         // then interruptions are violations
 constexpr milliseconds key_grace{5000};
 constexpr int stop_timeout_ms = 12000; // a daemon drains for eight seconds at most
 
