--- a/bench/bench_entry.cpp
+++ b/bench/bench_entry.cpp
@@ -136,7 +136,7 @@
 /// `duration`. Returns the number of complete responses.
 std::int64_t drive(fleet& system, int streams, int tokens, millis duration)
 {
-    std::atomic<std::int64_t> whole{0};
+    std::atomic<std::int64_t> complete_count{0};
     std::vector<std::thread>  callers;
     auto const                until = boot_clock::now() + duration;
     auto const                body = body_of(tokens);
@@ -152,13 +152,14 @@
                 client.set_read_timeout(60);
                 while (boot_clock::now() < until)
                 {
-                    auto const answer =
+                    auto const response =
                         client.Post("/v1/chat/completions",
                                     {{"Authorization", "Bearer " + system.key("north")}},
                                     body, "application/json");
                     bool const complete =
-                        answer && answer->body.find("data: [DONE]") != std::string::npos;
-                    whole += complete ? 1 : 0;
+                        response &&
+                        response->body.find("data: [DONE]") != std::string::npos;
+                    complete_count += complete ? 1 : 0;
                 }
             });
     }
@@ -166,13 +167,13 @@
     {
         caller.join();
     }
-    return whole;
+    return complete_count;
 }
 
 void measure_throughput(fleet& system)
 {
     constexpr int    streams = 256;
-    constexpr int    long_answer = 200;
+    constexpr int    long_response_tokens = 200;
     constexpr millis duration{5000};
     auto const       pid = system.node(0).pid();
     drive(system, streams, 1, millis{500});
@@ -181,10 +182,10 @@
     auto       used = processor_seconds(pid) - before;
     report("entry_requests_per_core", static_cast<double>(requests) / used, "1/s");
     before = processor_seconds(pid);
-    auto const answers = drive(system, streams, long_answer, duration);
+    auto const responses = drive(system, streams, long_response_tokens, duration);
     used = processor_seconds(pid) - before;
-    report("entry_chunks_per_core", static_cast<double>(answers * long_answer) / used,
-           "1/s");
+    report("entry_chunks_per_core",
+           static_cast<double>(responses * long_response_tokens) / used, "1/s");
     report("entry_cores_used_with_256_streams",
            used / std::chrono::duration<double>(duration).count(), "cores");
 }
@@ -196,7 +197,7 @@
 /// Usage: bench_entry [latency | throughput]; both without an argument.
 int main(int argc, char** argv)
 {
-    std::string const    part = argc > 1 ? argv[1] : "";
+    std::string const    selected = argc > 1 ? argv[1] : "";
     tests::fleet_options options;
     options.nodes = 1;
     options.engines = 2;
@@ -204,11 +205,11 @@
     options.engine_settings = {
         {"decode_us", "10000"}, {"batch", "400"}, {"threads", "400"}};
     fleet system(options);
-    if (part != "throughput")
+    if (selected != "throughput")
     {
         measure_latency(system);
     }
-    if (part != "latency")
+    if (selected != "latency")
     {
         measure_throughput(system);
     }
--- a/bench/bench_ledger.cpp
+++ b/bench/bench_ledger.cpp
@@ -24,8 +24,8 @@
 // 1. Measuring
 
 constexpr int           rounds = 15;
-constexpr std::uint64_t records_a_round = 2000;
-constexpr int           deltas_a_batch = 50;
+constexpr std::uint64_t records_per_round = 2000;
+constexpr int           deltas_per_batch = 50;
 
 void report(std::string const& name, double value, std::string const& unit)
 {
@@ -89,8 +89,8 @@
     auto* batch = record.mutable_usage();
     batch->set_node("node-1");
     batch->set_incarnation("run");
-    batch->set_sequence(offset * deltas_a_batch + 1);
-    for (int index = 0; index < deltas_a_batch; ++index)
+    batch->set_sequence(offset * deltas_per_batch + 1);
+    for (int index = 0; index < deltas_per_batch; ++index)
     {
         auto* delta = batch->add_deltas();
         delta->set_request_id("0123456789abcdef01234567");
@@ -124,7 +124,7 @@
 double fold_once(record_kind const& kind, std::uint64_t first)
 {
     std::vector<std::string> texts;
-    for (std::uint64_t index = 0; index < records_a_round; ++index)
+    for (std::uint64_t index = 0; index < records_per_round; ++index)
     {
         texts.push_back(format_record(kind.make(first + index)));
     }
@@ -139,7 +139,7 @@
                 store.apply(offset++, text, boot_clock::now());
             }
         });
-    return total / static_cast<double>(records_a_round);
+    return total / static_cast<double>(records_per_round);
 }
 
 void measure_records()
@@ -182,19 +182,19 @@
                     offset % 2 == 0 ? withdrawal(offset) : usage((offset - 1003) / 2));
     }
     wire::log_record record;
-    auto const       taken =
+    auto const       write_us =
         microseconds_of([&] { *record.mutable_ledger() = value.snapshot(); });
     auto const text = format_record(record);
     bool       same = false;
-    auto const read = microseconds_of(
+    auto const restore_us = microseconds_of(
         [&]
         {
-            auto const back = leaf::try_handle_all([&] { return parse_record(text); },
-                                                   [] { return wire::log_record{}; });
-            same = ledger::restored(back.ledger()) == value;
+            auto const parsed = leaf::try_handle_all([&] { return parse_record(text); },
+                                                     [] { return wire::log_record{}; });
+            same = ledger::restored(parsed.ledger()) == value;
         });
-    report("snapshot_under_the_lock", taken, "us");
-    report("snapshot_restore", read, "us");
+    report("snapshot_under_the_lock", write_us, "us");
+    report("snapshot_restore", restore_us, "us");
     report("snapshot_size", static_cast<double>(text.size()), "bytes");
     report("snapshot_restores_the_same", same ? 1 : 0, "bool");
 }
--- a/bench/bench_policy.cpp
+++ b/bench/bench_policy.cpp
@@ -20,7 +20,7 @@
     std::int64_t                        traces = 0;
     std::int64_t                        shifting = 0;
     std::int64_t                        good = 0;
-    std::int64_t                        least_good = 1'000'000;
+    std::int64_t                        min_good = 1'000'000;
     std::int64_t                        simple_in_shift = 0;
     std::int64_t                        spent = 0;
     std::int64_t                        worst = 0;
@@ -36,7 +36,7 @@
     constexpr auto max_ratio = std::int64_t{10'000}; // a baseline near 0 proves little
     ++sums.traces;
     sums.good += ratios.good;
-    sums.least_good = std::min(sums.least_good, ratios.good);
+    sums.min_good = std::min(sums.min_good, ratios.good);
     sums.worst += ratios.worst;
     sums.spent += ratios.spent;
     sums.changes = std::max(sums.changes, ratios.changes);
@@ -61,7 +61,7 @@
     };
     auto const traces = std::max<std::int64_t>(1, sums.traces);
     line("goodput_over_best_baseline", sums.good / traces);
-    line("goodput_over_best_baseline_least", sums.least_good);
+    line("goodput_over_best_baseline_least", sums.min_good);
     line("goodput_in_shift_over_simple_baselines",
          sums.simple_in_shift / std::max<std::int64_t>(1, sums.shifting));
     line("worst_served_workspace", sums.worst / traces);
@@ -79,9 +79,9 @@
 
 int main(int argc, char** argv)
 {
-    std::filesystem::path const        folder = argc > 1 ? argv[1] : "traces";
+    std::filesystem::path const        directory = argc > 1 ? argv[1] : "traces";
     std::vector<std::filesystem::path> files;
-    for (auto const& entry : std::filesystem::directory_iterator(folder))
+    for (auto const& entry : std::filesystem::directory_iterator(directory))
     {
         if (entry.path().extension() == ".trace")
         {
--- a/bench/bench_routing.cpp
+++ b/bench/bench_routing.cpp
@@ -86,21 +86,21 @@
 
 int main()
 {
-    double first = 0;
+    double baseline_us = 0;
     for (auto const workspaces : {8U, 27'000U})
     {
         for (auto const engines : {12U, 100U, 475U, 1'900U})
         {
-            auto micros = decision_us({engines, workspaces});
+            auto min_us = decision_us({engines, workspaces});
             for (int round = 1; round < rounds; ++round)
             {
-                micros = std::min(micros, decision_us({engines, workspaces}));
+                min_us = std::min(min_us, decision_us({engines, workspaces}));
             }
-            first = first == 0 ? micros : first;
+            baseline_us = baseline_us == 0 ? min_us : baseline_us;
             std::printf("routing_decision_%u_engines_%u_workspaces %.3f us\n", engines,
-                        workspaces, micros);
+                        workspaces, min_us);
             std::printf("routing_decision_%u_over_12_engines_%u_workspaces %.2f ratio\n",
-                        engines, workspaces, micros / first);
+                        engines, workspaces, min_us / baseline_us);
         }
     }
     return 0;
--- a/bench/entry_soak/soak_callers.cpp
+++ b/bench/entry_soak/soak_callers.cpp
@@ -71,16 +71,16 @@
          .key = key,
          .body = id, // unique: equal bodies may be taken for a poison call
          .deadline_ms = deadline_ms}));
-    auto const answer = caller.read(deadline_ms);
-    checker_.on_response(id, answer);
-    bool const interrupted = answer.status != 0 && !answer.complete;
+    auto const response = caller.read(deadline_ms);
+    checker_.on_response(id, response);
+    bool const interrupted = response.status != 0 && !response.complete;
     if (interrupted && planned_only_(daemon))
     {
         checker_.on_planned_interruption(id);
     }
-    auto const closes = answer.fields.find("connection");
-    return answer.complete &&
-           (closes == answer.fields.end() || closes->second.find("close") != 0);
+    auto const closes = response.fields.find("connection");
+    return response.complete &&
+           (closes == response.fields.end() || closes->second.find("close") != 0);
 }
 
 } // namespace marigoldcrank::soak
--- a/bench/entry_soak/soak_ledger.cpp
+++ b/bench/entry_soak/soak_ledger.cpp
@@ -54,21 +54,22 @@
     ++sent_;
 }
 
-void soak_checker::on_response(std::string const& id, tests::raw_response const& answer)
+void soak_checker::on_response(std::string const& id, tests::raw_response const& response)
 {
     std::lock_guard const lock{mutex_};
     auto&                 call = calls_.at(id);
-    ++statuses_[answer.status];
-    bool const good = answer.status >= 200 && answer.status < 300;
-    served_ += good && answer.complete ? 1 : 0;
-    call.refused = call.refused || answer.status == 503 || answer.status == 429;
+    ++statuses_[response.status];
+    bool const good = response.status >= 200 && response.status < 300;
+    served_ += good && response.complete ? 1 : 0;
+    call.refused = call.refused || response.status == 503 || response.status == 429;
     bool const incomplete =
-        good && answer.complete && answer.body != body_of(id, call.kind);
+        good && response.complete && response.body != body_of(id, call.kind);
     if (incomplete)
     {
-        violations_.push_back("wrong response body for call " + id + ": " + answer.body);
+        violations_.push_back("wrong response body for call " + id + ": " +
+                              response.body);
     }
-    if (good && !tests::signed_by_server(answer))
+    if (good && !tests::signed_by_server(response))
     {
         violations_.push_back("response without the server's signature: " + id);
     }
--- a/bench/entry_soak/soak_ledger.hpp
+++ b/bench/entry_soak/soak_ledger.hpp
@@ -40,7 +40,7 @@
     void on_sent(std::string const& id, call_class const& kind, std::string const& key);
 
     /// A caller has received a response, or none (status 0).
-    void on_response(std::string const& id, tests::raw_response const& answer);
+    void on_response(std::string const& id, tests::raw_response const& response);
 
     /// A call was interrupted in the middle of its response although only planned work,
     /// such as a stop of the daemon, was in progress.
--- a/bench/soak/soak.cpp
+++ b/bench/soak/soak.cpp
@@ -102,15 +102,15 @@
 
 int main(int argc, char** argv)
 {
-    auto const wanted = parse(argc, argv);
+    auto const parsed = parse(argc, argv);
     std::signal(SIGPIPE, SIG_IGN);
-    std::cout << "soak_seed " << wanted.seed << " seed" << std::endl;
+    std::cout << "soak_seed " << parsed.seed << " seed" << std::endl;
     soak::soak_keys   keys(spare_keys);
     tests::fleet      system(fleet_of_nine(keys));
-    soak::soak_load   load(system, keys, wanted.seed);
-    soak::soak_faults faults(system, keys, wanted.seed);
+    soak::soak_load   load(system, keys, parsed.seed);
+    soak::soak_faults faults(system, keys, parsed.seed);
     auto const        until =
-        boot_clock::now() + millis{static_cast<std::int64_t>(wanted.minutes * 60'000)};
+        boot_clock::now() + millis{static_cast<std::int64_t>(parsed.minutes * 60'000)};
     auto const episodes = faults.run(until);
     auto const calls = load.stop();
     auto const result = soak::audit(system, keys, calls, episodes);
--- a/bench/soak/soak_faults.cpp
+++ b/bench/soak/soak_faults.cpp
@@ -358,10 +358,10 @@
                 tests::eventually(
                     [&]
                     {
-                        auto const answer = system_.admin_post(
+                        auto const response = system_.admin_post(
                             random_below(node_count), "/admin/keys/withdraw",
                             {{"key_id", keys_.id(key)}});
-                        return answer.value("outcome", "") == "withdrawn";
+                        return response.value("outcome", "") == "withdrawn";
                     });
                 keys_.note_withdrawn(key);
             },
@@ -373,10 +373,10 @@
 {
     auto const accepted = [&]
     {
-        auto const answer =
+        auto const response =
             system_.admin_post(random_below(node_count), "/admin/servers/drain",
                                {{"scope", scope}, {"name", name}, {"drained", drained}});
-        return answer.value("outcome", "") == "accepted";
+        return response.value("outcome", "") == "accepted";
     };
     tests::eventually(accepted);
 }
--- a/bench/soak/soak_load.cpp
+++ b/bench/soak/soak_load.cpp
@@ -87,8 +87,8 @@
             httplib::Client client("127.0.0.1", system_.node_port(node));
             client.set_connection_timeout(readiness_interval);
             client.set_read_timeout(readiness_interval);
-            auto const answer = client.Get("/readyz");
-            ready_[static_cast<std::size_t>(node)] = answer && answer->status == 200;
+            auto const response = client.Get("/readyz");
+            ready_[static_cast<std::size_t>(node)] = response && response->status == 200;
         }
         std::this_thread::sleep_for(readiness_interval);
     }
@@ -134,15 +134,15 @@
     record.node = pick_node(source);
     record.tokens = static_cast<std::uint64_t>(question.tokens);
     record.begun = boot_clock::now();
-    auto const answer = tests::call_model(system_, record.node, question);
+    auto const response = tests::call_model(system_, record.node, question);
     bool const in_time =
         boot_clock::now() - record.begun < std::chrono::seconds(call_timeout_s);
-    record.outcome = answer.whole(question)     ? call_outcome::complete
-                     : answer.ended             ? call_outcome::wrong
-                     : answer.fate == "not_run" ? call_outcome::not_run
-                     : !answer.fate.empty()     ? call_outcome::unknown
-                     : in_time                  ? call_outcome::connection_lost
-                                                : call_outcome::hung;
+    record.outcome = response.whole(question)     ? call_outcome::complete
+                     : response.ended             ? call_outcome::wrong
+                     : response.fate == "not_run" ? call_outcome::not_run
+                     : !response.fate.empty()     ? call_outcome::unknown
+                     : in_time                    ? call_outcome::connection_lost
+                                                  : call_outcome::hung;
     add_record(std::move(record));
 }
 
@@ -182,21 +182,21 @@
     {
         headers.emplace("Idempotency-Key", mark);
     }
-    auto const answer = client.Post("/services/ordering/orders", headers,
-                                    json{{"mark", mark}}.dump(), "application/json");
+    auto const response = client.Post("/services/ordering/orders", headers,
+                                      json{{"mark", mark}}.dump(), "application/json");
     bool const in_time =
         boot_clock::now() - record.begun < std::chrono::seconds(call_timeout_s);
-    if (!answer)
+    if (!response)
     {
         record.outcome = in_time ? call_outcome::connection_lost : call_outcome::hung;
         return record;
     }
-    auto const body = json::parse(answer->body, nullptr, false);
+    auto const body = json::parse(response->body, nullptr, false);
     auto const error = body.is_object() ? body.value("error", json::object()) : json();
     auto const fate = error.is_object() ? error.value("fate", "") : "";
-    record.outcome = answer->status == 200 ? call_outcome::complete
-                     : fate == "not_run"   ? call_outcome::not_run
-                                           : call_outcome::unknown;
+    record.outcome = response->status == 200 ? call_outcome::complete
+                     : fate == "not_run"     ? call_outcome::not_run
+                                             : call_outcome::unknown;
     return record;
 }
 
--- a/bench/sweep.cpp
+++ b/bench/sweep.cpp
@@ -1,8 +1,8 @@
 // sweep: goodput of this project's policy over all traces for a range of each constant.
 //
-// Usage: sweep TRACE... Prints one table for each constant: mean and minimum share of
-// offered requests that met their targets, worst-served workspace, role changes and
-// price.
+// Usage: sweep [--only=CONSTANT] TRACE... Prints one table for each constant: mean and
+// minimum share of offered requests that met their targets, worst-served workspace, role
+// changes and price.
 #include "replay_table.hpp"
 
 #include <functional>
@@ -167,7 +167,7 @@
         replay_options options;
         each.set(options, value);
         std::int64_t sum = 0;
-        std::int64_t least = 1'000;
+        std::int64_t min_good = 1'000;
         std::int64_t worst = 0;
         std::int64_t changes = 0;
         std::int64_t price = 0;
@@ -176,13 +176,13 @@
             auto const result = run_replay(input, options);
             auto const good = result.good * 1'000 / result.offered;
             sum += good;
-            least = std::min(least, good);
+            min_good = std::min(min_good, good);
             worst += worst_served_milli(input, result);
             changes += result.role_changes;
             price += result.price(options.spend.cheap_price) / 100'000;
         }
         auto const count = static_cast<std::int64_t>(traces.size());
-        std::cout << "| " << value << " | " << sum / count << " | " << least << " | "
+        std::cout << "| " << value << " | " << sum / count << " | " << min_good << " | "
                   << worst / count << " | " << changes << " | " << price << " |\n";
     }
     std::cout << "\n";
