--- a/bench/bench_entry.cpp
+++ b/bench/bench_entry.cpp
@@ -1,11 +1,11 @@
-// What one entry VM adds: latency against asking the engine directly, and how much it
-// serves a core. Prints `name value unit` lines.
+// Overhead of one entry VM: latency added to a direct call of the engine, and throughput
+// per core. Prints `name value unit` lines.
 //
 // Index: 1 measuring, 2 latency, 3 throughput, 4 main
 //
-// The engine's stand-in, the entry and this program share the machine, so absolute times
-// depend on what else runs; the ratios compare requests sent alternately in one run.
-// Processor time is the entry process's own, read from the kernel.
+// The engine's stand-in, the entry VM and this program share one host, so absolute times
+// depend on its load. The ratios compare requests sent alternately in one run. Processor
+// time is that of the entry process, read from the kernel.
 #include "support/node_process.hpp"
 
 #include "domain/boot_clock.hpp"
@@ -30,7 +30,7 @@
 
 // 1. Measuring
 
-/// Processor seconds that a process used so far, in user and system mode.
+/// Processor time of a process in user and system mode, in seconds.
 double processor_seconds(pid_t pid)
 {
     std::ifstream stream("/proc/" + std::to_string(pid) + "/stat");
@@ -73,7 +73,7 @@
 
 // 2. Latency
 
-/// Milliseconds until the first byte of the answer's body.
+/// Milliseconds until the first byte of the response's body.
 double first_token_ms(httplib::Client& client, httplib::Headers const& headers)
 {
     auto const       begun = boot_clock::now();
@@ -132,11 +132,11 @@
 
 // 3. Throughput
 
-/// Runs `streams` callers at once, each one answer after another until the time is over.
-/// Returns the number of whole answers.
+/// Runs `streams` concurrent callers, each of which sends one call after another for
+/// `duration`. Returns the number of complete responses.
 std::int64_t drive(fleet& system, int streams, int tokens, millis duration)
 {
-    std::atomic<std::int64_t> whole{0};
+    std::atomic<std::int64_t> complete_count{0};
     std::vector<std::thread>  callers;
     auto const                until = boot_clock::now() + duration;
     auto const                body = body_of(tokens);
@@ -152,13 +152,14 @@
                 client.set_read_timeout(60);
                 while (boot_clock::now() < until)
                 {
-                    auto const answer =
+                    auto const response =
                         client.Post("/v1/chat/completions",
                                     {{"Authorization", "Bearer " + system.key("north")}},
                                     body, "application/json");
                     bool const complete =
-                        answer && answer->body.find("data: [DONE]") != std::string::npos;
-                    whole += complete ? 1 : 0;
+                        response &&
+                        response->body.find("data: [DONE]") != std::string::npos;
+                    complete_count += complete ? 1 : 0;
                 }
             });
     }
@@ -166,13 +167,13 @@
     {
         caller.join();
     }
-    return whole;
+    return complete_count;
 }
 
 void measure_throughput(fleet& system)
 {
     constexpr int    streams = 256;
-    constexpr int    long_answer = 200;
+    constexpr int    long_response_tokens = 200;
     constexpr millis duration{5000};
     auto const       pid = system.node(0).pid();
     drive(system, streams, 1, millis{500});
@@ -181,10 +182,10 @@
     auto       used = processor_seconds(pid) - before;
     report("entry_requests_per_core", static_cast<double>(requests) / used, "1/s");
     before = processor_seconds(pid);
-    auto const answers = drive(system, streams, long_answer, duration);
+    auto const responses = drive(system, streams, long_response_tokens, duration);
     used = processor_seconds(pid) - before;
-    report("entry_chunks_per_core", static_cast<double>(answers * long_answer) / used,
-           "1/s");
+    report("entry_chunks_per_core",
+           static_cast<double>(responses * long_response_tokens) / used, "1/s");
     report("entry_cores_used_with_256_streams",
            used / std::chrono::duration<double>(duration).count(), "cores");
 }
@@ -196,7 +197,7 @@
 /// Usage: bench_entry [latency | throughput]; both without an argument.
 int main(int argc, char** argv)
 {
-    std::string const    part = argc > 1 ? argv[1] : "";
+    std::string const    selected = argc > 1 ? argv[1] : "";
     tests::fleet_options options;
     options.nodes = 1;
     options.engines = 2;
@@ -204,11 +205,11 @@
     options.engine_settings = {
         {"decode_us", "10000"}, {"batch", "400"}, {"threads", "400"}};
     fleet system(options);
-    if (part != "throughput")
+    if (selected != "throughput")
     {
         measure_latency(system);
     }
-    if (part != "latency")
+    if (selected != "latency")
     {
         measure_throughput(system);
     }
--- a/bench/soak/soak.cpp
+++ b/bench/soak/soak.cpp
@@ -1,5 +1,6 @@
-// Soak test: nine entry VMs under both users' mixes while faults and planned changes come
-// at random from a printed seed; ends with an audit and exits 1 if it found anything.
+// Soak test: nine entry VMs serve both users' call mixes while faults and planned changes
+// are chosen at random from a printed seed. An audit follows; the exit code is 1 if it
+// finds a fault.
 //
 // Index: 1 command line, 2 report, 3 main
 #include "soak_audit.hpp"
@@ -24,8 +25,8 @@
 
 struct options
 {
-    std::uint64_t seed = std::random_device{}(); // random  printed, to run it again
-    double        minutes = 10;                  // 10      of faults
+    std::uint64_t seed = std::random_device{}(); // random  printed, for repeating the run
+    double        minutes = 10;                  // 10      duration of the faults
 };
 
 options parse(int argc, char** argv)
@@ -57,8 +58,8 @@
     return result;
 }
 
-/// Entry VMs, engines and services as both users run them; the engines from 6 on are
-/// cheap and go a zone at a time.
+/// Nine entry VMs, twelve engines and three services. The engines from 6 on are cheap and
+/// are reclaimed by data centre.
 tests::fleet_options fleet_of_nine(soak::soak_keys const& keys)
 {
     tests::fleet_options result;
@@ -89,8 +90,8 @@
     line("soak_doubled", result.doubled, "requests");
     line("soak_wrong", result.wrong, "requests");
     line("soak_false_not_run", result.false_not_run, "requests");
-    line("soak_withdrawn_key_worked", result.withdrawn_worked, "requests");
-    line("soak_cut_by_planned", result.cut_by_planned, "requests");
+    line("soak_withdrawn_key_worked", result.accepted_withdrawn, "requests");
+    line("soak_cut_by_planned", result.unexplained_interruptions, "requests");
     line("soak_unbilled", result.unbilled_tokens, "tokens");
     line("soak_overbilled", result.overbilled_tokens, "tokens");
 }
@@ -101,15 +102,15 @@
 
 int main(int argc, char** argv)
 {
-    auto const wanted = parse(argc, argv);
+    auto const parsed = parse(argc, argv);
     std::signal(SIGPIPE, SIG_IGN);
-    std::cout << "soak_seed " << wanted.seed << " seed" << std::endl;
+    std::cout << "soak_seed " << parsed.seed << " seed" << std::endl;
     soak::soak_keys   keys(spare_keys);
     tests::fleet      system(fleet_of_nine(keys));
-    soak::soak_load   load(system, keys, wanted.seed);
-    soak::soak_faults faults(system, keys, wanted.seed);
+    soak::soak_load   load(system, keys, parsed.seed);
+    soak::soak_faults faults(system, keys, parsed.seed);
     auto const        until =
-        boot_clock::now() + millis{static_cast<std::int64_t>(wanted.minutes * 60'000)};
+        boot_clock::now() + millis{static_cast<std::int64_t>(parsed.minutes * 60'000)};
     auto const episodes = faults.run(until);
     auto const calls = load.stop();
     auto const result = soak::audit(system, keys, calls, episodes);
