--- a/bench/model/engine_model.cpp
+++ b/bench/model/engine_model.cpp
@@ -1,4 +1,4 @@
-// Cost model of one engine.
+// Cost model of one engine: queue, steps and prefix cache.
 #include "engine_model.hpp"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 void engine_model::submit(model_call const& call)
 {
-    waiting_.emplace(place{call.imported ? -1 : call.priority, arrivals_++},
+    waiting_.emplace(queue_position{call.imported ? -1 : call.priority, arrivals_++},
                      pending{call, call.imported ? 0 : call.prompt, false});
 }
 
@@ -40,27 +40,28 @@
 
 // 2. Steps
 
-/// Prefix hits are known when the computation starts.
+/// Prefix hits are looked up when the prefill starts, not on arrival.
 void engine_model::start(pending& entry)
 {
     entry.started = true;
     auto const found = cached_.find(entry.call.prefix);
     if (entry.call.prefix >= 0 && found != cached_.end() && !entry.call.imported)
     {
-        recent_.splice(recent_.begin(), recent_, found->second);
-        entry.left = std::max<std::int64_t>(1, entry.left - entry.call.prefix_tokens);
+        lru_.splice(lru_.begin(), lru_, found->second);
+        entry.prefill_left =
+            std::max<std::int64_t>(1, entry.prefill_left - entry.call.prefix_tokens);
     }
 }
 
-std::int64_t engine_model::take_prompts()
+std::int64_t engine_model::schedule_prefill()
 {
     auto         budget = costs_.chunk_tokens;
-    auto         places = batch() - static_cast<std::int64_t>(decoding_.size());
+    auto         free_slots = batch() - static_cast<std::int64_t>(decoding_.size());
     std::int64_t taken = 0;
     computed_.clear();
     for (auto& [where, entry] : waiting_)
     {
-        if (places <= 0 || (budget <= 0 && !entry.call.imported))
+        if (free_slots <= 0 || (budget <= 0 && !entry.call.imported))
         {
             break;
         }
@@ -68,12 +69,12 @@
         {
             start(entry);
         }
-        auto const now = std::min(budget, entry.left);
-        entry.left -= now;
+        auto const now = std::min(budget, entry.prefill_left);
+        entry.prefill_left -= now;
         budget -= now;
         taken += now;
-        --places;
-        if (entry.left == 0)
+        --free_slots;
+        if (entry.prefill_left == 0)
         {
             computed_.push_back(where);
         }
@@ -87,7 +88,7 @@
     {
         return 0;
     }
-    chunk_ = take_prompts();
+    chunk_ = schedule_prefill();
     stepping_ = true;
     auto const token_us =
         role == engine_role::prefill ? costs_.prefill_role_us : costs_.prefill_us;
@@ -110,7 +111,7 @@
         decoding_.push_back(call.id);
         if (!call.imported)
         {
-            store(call, events);
+            cache_prompt(call, events);
             result.first_tokens.push_back(call.id);
         }
     }
@@ -128,9 +129,9 @@
     decoding_.clear();
     waiting_.clear();
     computed_.clear();
-    recent_.clear();
+    lru_.clear();
     cached_.clear();
-    held_ = 0;
+    cached_tokens_ = 0;
     stepping_ = false;
     return calls;
 }
@@ -141,7 +142,7 @@
                      stepping_ ? chunk_ : 0};
     for (auto const& [where, entry] : waiting_)
     {
-        work.prefill_tokens += entry.left;
+        work.prefill_tokens += entry.prefill_left;
     }
     return work;
 }
@@ -158,29 +159,29 @@
 
 // 3. Prefix cache
 
-void engine_model::keep(std::int64_t key, std::int64_t tokens,
-                        std::vector<cache_event>& events)
+void engine_model::insert_cached(std::int64_t key, std::int64_t tokens,
+                                 std::vector<cache_event>& events)
 {
     auto const found = cached_.find(key);
     if (found != cached_.end())
     {
-        recent_.splice(recent_.begin(), recent_, found->second);
+        lru_.splice(lru_.begin(), lru_, found->second);
         return;
     }
-    recent_.emplace_front(key, tokens);
-    cached_[key] = recent_.begin();
-    held_ += tokens;
+    lru_.emplace_front(key, tokens);
+    cached_[key] = lru_.begin();
+    cached_tokens_ += tokens;
     if (key >= 0)
     {
         events.push_back(
             {index_, ++sequence_, true, static_cast<std::uint64_t>(key), tokens});
     }
-    while (held_ > costs_.cache_tokens)
+    while (cached_tokens_ > costs_.cache_tokens)
     {
-        auto const [old, size] = recent_.back();
-        recent_.pop_back();
+        auto const [old, size] = lru_.back();
+        lru_.pop_back();
         cached_.erase(old);
-        held_ -= size;
+        cached_tokens_ -= size;
         if (old >= 0)
         {
             events.push_back(
@@ -189,14 +190,15 @@
     }
 }
 
-void engine_model::store(model_call const& call, std::vector<cache_event>& events)
+void engine_model::cache_prompt(model_call const& call, std::vector<cache_event>& events)
 {
     auto const shared = call.prefix >= 0 ? call.prefix_tokens : 0;
     if (call.prefix >= 0)
     {
-        keep(call.prefix, shared, events);
+        insert_cached(call.prefix, shared, events);
     }
-    keep(next_rest_--, std::max<std::int64_t>(1, call.prompt - shared), events);
+    insert_cached(next_unshared_key_--, std::max<std::int64_t>(1, call.prompt - shared),
+                  events);
 }
 
 } // namespace marigoldcrank::model
--- a/bench/model/engine_model.hpp
+++ b/bench/model/engine_model.hpp
@@ -2,8 +2,8 @@
 //
 // Index: 1 engine_costs, 2 model_call, 3 step_result, 4 engine_model
 //
-// Time passes in steps of the batch, as in continuous batching: a step decodes one token
-// of every stream in the batch and computes up to a chunk of prompt tokens.
+// The engine runs in steps, as in continuous batching: a step decodes one token of every
+// stream in the batch and computes at most chunk_tokens prompt tokens.
 #ifndef MARIGOLDCRANK_MODEL_ENGINE_MODEL_HPP
 #define MARIGOLDCRANK_MODEL_ENGINE_MODEL_HPP
 
@@ -21,47 +21,50 @@
 namespace marigoldcrank::model
 {
 
-/// The model's numbers; docs/notes/policy.md shows them in one table.
+/// Parameters of the cost model; docs/notes/policy.md lists them in a table.
 struct engine_costs
 {
     std::int64_t prefill_us = 50;        // 50      a prompt token, microseconds
     std::int64_t step_us = 15'000;       // 15000   a step, microseconds
     std::int64_t stream_us = 250;        // 250     a stream in a step, microseconds
-    std::int64_t chunk_tokens = 2'000;   // 2000    prompt tokens of a step at most
-    std::int64_t batch = 64;             // 64      streams at once, mixed role
+    std::int64_t chunk_tokens = 2'000;   // 2000    maximum of prompt tokens in a step
+    std::int64_t batch = 64;             // 64      maximum of streams, mixed role
     std::int64_t prefill_role_us = 40;   // 40      a prompt token in the prefill role
-    std::int64_t decode_role_batch = 96; // 96      streams at once in the decode role
-    std::int64_t cache_tokens = 200'000; // 200000  prompt tokens kept for prefix hits
-    std::int64_t move_us = 10'000;       // 10000   to move KV cache, microseconds
-    std::int64_t move_token_us = 20;     // 20      the same, for each token
-    std::int64_t change_us = 4'000'000;  // 4 s     without service in a role change
+    std::int64_t decode_role_batch = 96; // 96      maximum of streams, decode role
+    std::int64_t cache_tokens =
+        200'000;                      // 200000  prompt tokens that the prefix cache holds
+    std::int64_t handoff_us = 10'000; // 10000   a handoff of KV cache, microseconds
+    std::int64_t handoff_token_us =
+        20; // 20      added to it for each token, microseconds
+    std::int64_t role_change_us =
+        4'000'000;                       // 4 s     out of service during a role change
     std::int64_t restart_us = 5'000'000; // 5 s     to restart after a crash
-    std::int64_t start_us = 20'000'000;  // 20 s    from order to service of a VM
+    std::int64_t start_us = 20'000'000;  // 20 s    from the order of a VM until it serves
 
     bool operator==(engine_costs const&) const = default;
 };
 
-/// What an engine is asked to do.
+/// A call as submitted to an engine.
 struct model_call
 {
     std::uint32_t id = 0;
-    std::int64_t  priority = 0; // lower first
+    std::int64_t  priority = 0; // lower values run first
     std::int64_t  prompt = 0;   // tokens to compute, before prefix hits
     std::int32_t  prefix = -1;
     std::int64_t  prefix_tokens = 0;
     bool          poison = false;
-    bool          imported = false; // its KV cache was moved here: decode only
+    bool          imported = false; // its KV cache was imported: decode only
 };
 
-/// What one step did.
+/// Outcome of one step.
 struct step_result
 {
-    std::vector<std::uint32_t> first_tokens; // calls whose prompt is computed
-    std::vector<std::uint32_t> tokens;       // streams that got a token
+    std::vector<std::uint32_t> first_tokens; // calls whose prefill ended
+    std::vector<std::uint32_t> tokens;       // streams that produced a token
     bool                       crashed = false;
 };
 
-/// One engine.
+/// Simulates one engine: its queue, batch and prefix cache.
 class engine_model
 {
 public:
@@ -69,16 +72,18 @@
 
     void submit(model_call const& call);
 
-    /// Removes a call, wherever it is.
+    /// Removes a call from the queue or the batch.
     void remove(std::uint32_t call);
 
-    /// Begins a step; its duration, or 0 if there is nothing to do.
+    /// Begins a step. Returns its duration in microseconds, or 0 if there is no work.
     std::int64_t begin_step();
 
-    /// Ends the step begun. A call whose prompt was computed joins the batch.
+    /// Ends the step in progress. A call whose prefill is complete joins the batch.
+    /// Changes of
+    /// shared prefixes in the cache are appended to `events`.
     step_result end_step(std::vector<cache_event>& events);
 
-    /// All calls that it holds; it then holds none and its cache is empty.
+    /// Returns all calls at the engine and drops them together with the cache.
     std::vector<std::uint32_t> crash();
 
     engine_work  load() const;
@@ -93,30 +98,33 @@
     struct pending
     {
         model_call   call;
-        std::int64_t left = 0; // prompt tokens to compute
+        std::int64_t prefill_left = 0; // prompt tokens to compute
         bool         started = false;
     };
-    using place = std::tuple<std::int64_t, std::uint64_t>; // priority, arrival
+    using queue_position = std::tuple<std::int64_t, std::uint64_t>; // priority, arrival
 
-    std::int64_t take_prompts();
+    std::int64_t schedule_prefill();
     void         start(pending& entry);
-    void         store(model_call const& call, std::vector<cache_event>& events);
-    void keep(std::int64_t key, std::int64_t tokens, std::vector<cache_event>& events);
-
-    engine_costs const&        costs_;
-    std::uint32_t              index_;
-    std::uint64_t              arrivals_ = 0;
-    std::map<place, pending>   waiting_;
-    std::vector<std::uint32_t> decoding_;
-    std::vector<place>         computed_; // prompts that this step completes
-    std::int64_t               chunk_ = 0;
-    bool                       stepping_ = false;
-    // Prefix cache: keys >= 0 are shared prefixes, others are the rest of prompts.
-    std::list<std::pair<std::int64_t, std::int64_t>>    recent_;
-    std::map<std::int64_t, decltype(recent_)::iterator> cached_;
-    std::int64_t                                        held_ = 0;
-    std::int64_t                                        next_rest_ = -1;
-    std::uint64_t                                       sequence_ = 0;
+    void         cache_prompt(model_call const& call, std::vector<cache_event>& events);
+    void         insert_cached(std::int64_t key, std::int64_t tokens,
+                               std::vector<cache_event>& events);
+
+    engine_costs const&               costs_;
+    std::uint32_t                     index_;
+    std::uint64_t                     arrivals_ = 0;
+    std::map<queue_position, pending> waiting_;
+    std::vector<std::uint32_t>        decoding_;
+    std::vector<queue_position> computed_; // calls whose prefill this step completes
+    std::int64_t                chunk_ = 0;
+    bool                        stepping_ = false;
+    // Prefix cache, least recently used last. Keys >= 0 are shared prefixes, negative
+    // keys
+    // are the unshared parts of prompts.
+    std::list<std::pair<std::int64_t, std::int64_t>> lru_;
+    std::map<std::int64_t, decltype(lru_)::iterator> cached_;
+    std::int64_t                                     cached_tokens_ = 0;
+    std::int64_t                                     next_unshared_key_ = -1;
+    std::uint64_t                                    sequence_ = 0;
 };
 
 } // namespace marigoldcrank::model
--- a/bench/model/entry_model.cpp
+++ b/bench/model/entry_model.cpp
@@ -1,4 +1,4 @@
-// One entry VM of a replay.
+// Model of one entry VM in a replay.
 #include "entry_model.hpp"
 
 #include <algorithm>
@@ -8,17 +8,17 @@
 
 namespace
 {
-constexpr millis       forget_prefix{60'000};
+constexpr millis       prefix_lifetime{60'000};
 constexpr std::int64_t micros_per_milli = 1'000;
-constexpr std::int64_t memory = 32; // calls that the mean output spans
+constexpr std::int64_t mean_output_calls = 32; // weight of the mean output, in calls
 } // namespace
 
 entry_model::entry_model(trace const& input, replay_options const& options,
                          std::uint32_t entry)
     : views(input.engines.size()), shares(millis{options.admission.use_window_ms}),
-      prefixes(forget_prefix), trace_(input), entry_(entry), options_(options),
+      prefixes(prefix_lifetime), trace_(input), entry_(entry), options_(options),
       progress_(options.route), reported_(input.engines.size()),
-      at_report_(input.engines.size())
+      work_at_report_(input.engines.size())
 {
     for (std::size_t index = 0; index < views.size(); ++index)
     {
@@ -36,13 +36,13 @@
     rank_engines(views, entry_, options_.entries, options_.route);
 }
 
-bool entry_model::ours() const noexcept
+bool entry_model::uses_decision_core() const noexcept
 {
     return options_.policy != replay_policy::round_robin &&
            options_.policy != replay_policy::least_load;
 }
 
-// 1. Choice
+// 1. Choice of an engine
 
 engine_decision entry_model::choose_baseline(call_state const& call)
 {
@@ -51,7 +51,7 @@
     auto const      count = static_cast<std::uint32_t>(views.size());
     for (std::uint32_t step = 0; step < count; ++step)
     {
-        auto const index = (turn_ + step) % count;
+        auto const index = (next_turn_ + step) % count;
         bool const failed = std::find(call.excluded.begin(), call.excluded.end(),
                                       index) != call.excluded.end();
         if (!views[index].open || failed)
@@ -66,13 +66,13 @@
             least = load;
         }
     }
-    turn_ = decision.engine == no_engine ? 0 : (decision.engine + 1) % count;
+    next_turn_ = decision.engine == no_engine ? 0 : (decision.engine + 1) % count;
     return decision;
 }
 
 engine_decision entry_model::choose(call_state const& call, std::int64_t now_us)
 {
-    if (!ours())
+    if (!uses_decision_core())
     {
         return choose_baseline(call);
     }
@@ -96,9 +96,9 @@
     return shares.is_within_share(call.request.workspace, time_at(now_us));
 }
 
-admission_decision entry_model::judge(call_state const&      call,
-                                      engine_decision const& decision,
-                                      std::int64_t           now_us)
+admission_decision entry_model::evaluate_admission(call_state const&      call,
+                                                   engine_decision const& decision,
+                                                   std::int64_t           now_us)
 {
     admission_input input;
     input.servable = decision.engine != no_engine;
@@ -121,7 +121,7 @@
         input.idle_us = predict_first_token(idle, wanted, decision.reason.hit_tokens,
                                             options_.speed, options_.route)
                             .total_us();
-        // Its stream would find no place to go on: the same as a target missed.
+        // No engine has a free slot to decode the stream, so the target counts as missed.
         bool const moves = views[decision.engine].use == engine_use::prefill;
         auto const fill = input.within_share ? options_.admission.fill_percent
                                              : options_.admission.excess_fill_percent;
@@ -140,21 +140,21 @@
 
 // 2. Own work
 
-void entry_model::begin(call_state& call, engine_decision const& decision,
-                        std::int64_t now_us)
+void entry_model::record_dispatch(call_state& call, engine_decision const& decision,
+                                  std::int64_t now_us)
 {
     auto& view = views[decision.engine];
     call.engine = decision.engine;
-    call.counted_tokens =
+    call.counted_prefill_tokens =
         std::max<std::int64_t>(1, call.prompt() - decision.reason.hit_tokens);
     call.dispatched_us = now_us;
     call.expected_us = std::max<std::int64_t>(
         1, decision.reason.total_us() * engine_view::nominal_speed /
                std::max<std::int64_t>(1, decision.reason.slowdown));
     ++call.attempts;
-    count_sent(view, call.counted_tokens, now_us, options_.speed);
+    count_sent(view, call.counted_prefill_tokens, now_us, options_.speed);
     ++view.own.streams;
-    view.own.prefill_tokens += call.counted_tokens;
+    view.own.prefill_tokens += call.counted_prefill_tokens;
     if (call.request.prefix >= 0)
     {
         prefixes.dispatched(
@@ -166,20 +166,20 @@
                   time_at(now_us));
 }
 
-void entry_model::computed(call_state& call)
+void entry_model::record_prefill_done(call_state& call)
 {
-    views[call.engine].own.prefill_tokens -= call.counted_tokens;
-    call.counted_tokens = 0;
+    views[call.engine].own.prefill_tokens -= call.counted_prefill_tokens;
+    call.counted_prefill_tokens = 0;
 }
 
-void entry_model::left(call_state& call, std::uint32_t engine)
+void entry_model::record_departure(call_state& call, std::uint32_t engine)
 {
-    views[engine].own.prefill_tokens -= call.counted_tokens;
-    call.counted_tokens = 0;
+    views[engine].own.prefill_tokens -= call.counted_prefill_tokens;
+    call.counted_prefill_tokens = 0;
     --views[engine].own.streams;
     if (call.done && call.produced > 0)
     {
-        mean_output += (call.produced - mean_output) / memory;
+        mean_output += (call.produced - mean_output) / mean_output_calls;
         views[engine].failures = 0;
     }
 }
@@ -194,14 +194,14 @@
 
 void entry_model::report_made(std::uint32_t engine, std::int64_t now_us)
 {
-    at_report_[engine].push_back(sample_of(views[engine], now_us, options_.speed));
+    work_at_report_[engine].push_back(sample_of(views[engine], now_us, options_.speed));
 }
 
 void entry_model::report_read(std::uint32_t engine, engine_work const& reported,
                               std::int64_t age_us, std::int64_t now_us)
 {
-    auto const then = at_report_[engine].front();
-    at_report_[engine].pop_front();
+    auto const then = work_at_report_[engine].front();
+    work_at_report_[engine].pop_front();
     reported_[engine] = reported;
     apply_report(views[engine], {reported, then, age_us / micros_per_milli},
                  options_.entries, now_us, options_.speed, options_.route);
--- a/bench/model/fleet_model.cpp
+++ b/bench/model/fleet_model.cpp
@@ -1,4 +1,4 @@
-// The fleet of a replay.
+// Model of the fleet in a replay.
 #include "fleet_model.hpp"
 
 #include <algorithm>
@@ -26,11 +26,11 @@
 {
     for (std::uint32_t index = 0; index < input.engines.size(); ++index)
     {
-        auto const& place = input.engines[index];
-        servers.push_back({engine_model(options.costs, index), place});
-        zones_ = std::max(zones_, place.zone + 1);
+        auto const& location = input.engines[index];
+        servers.push_back({engine_model(options.costs, index), location});
+        data_centres_ = std::max(data_centres_, location.data_centre + 1);
     }
-    zone_lost.resize(zones_);
+    data_centre_lost.resize(data_centres_);
 }
 
 bool fleet_model::open(std::uint32_t engine) const
@@ -38,7 +38,7 @@
     return servers[engine].state == server_state::up;
 }
 
-void fleet_model::settle(std::int64_t now_us)
+void fleet_model::apply_transitions(std::int64_t now_us)
 {
     for (auto& server : servers)
     {
@@ -60,7 +60,7 @@
         else if (server.state == server_state::role_drain && server.engine.idle())
         {
             server.state = server_state::changing;
-            server.until_us = now_us + costs_.change_us;
+            server.until_us = now_us + costs_.role_change_us;
         }
     }
 }
@@ -93,7 +93,7 @@
             ++role_changes;
         }
     }
-    settle(now_us);
+    apply_transitions(now_us);
 }
 
 // 2. Servers
@@ -101,36 +101,37 @@
 spending_input fleet_model::spending_limits() const
 {
     spending_input input;
-    input.most.resize(zones_);
-    input.have.resize(zones_);
-    input.reachable.assign(zones_, true);
+    input.most.resize(data_centres_);
+    input.have.resize(data_centres_);
+    input.reachable.assign(data_centres_, true);
     for (auto const& server : servers)
     {
-        auto& most = input.most[server.place.zone];
+        auto& most = input.most[server.location.data_centre];
         if (server.state != server_state::gone)
         {
-            ++(server.place.cheap ? most.cheap : most.full_price);
+            ++(server.location.cheap ? most.cheap : most.full_price);
         }
         if (stays(server.state))
         {
-            auto& have = input.have[server.place.zone];
-            ++(server.place.cheap ? have.cheap : have.full_price);
+            auto& have = input.have[server.location.data_centre];
+            ++(server.location.cheap ? have.cheap : have.full_price);
         }
     }
     return input;
 }
 
-void fleet_model::order_class(std::uint32_t zone, bool cheap, std::int64_t wanted,
+void fleet_model::scale_class(std::uint32_t data_centre, bool cheap, std::int64_t wanted,
                               std::int64_t now_us)
 {
     auto in_class = [&](fleet_server const& server)
     {
-        return server.place.zone == zone && server.place.cheap == cheap;
+        return server.location.data_centre == data_centre &&
+               server.location.cheap == cheap;
     };
     auto have = std::count_if(servers.begin(), servers.end(),
                               [&](auto const& server)
                               { return in_class(server) && stays(server.state); });
-    // One that drains is taken back before another is started.
+    // A draining server returns to service before another one is started.
     for (auto from : {server_state::leaving, server_state::off})
     {
         for (auto& server : servers)
@@ -167,21 +168,21 @@
 
 void fleet_model::order_servers(spending_plan const& plan, std::int64_t now_us)
 {
-    for (std::uint32_t zone = 0; zone < zones_; ++zone)
+    for (std::uint32_t data_centre = 0; data_centre < data_centres_; ++data_centre)
     {
-        order_class(zone, false, plan.wanted[zone].full_price, now_us);
-        order_class(zone, true, plan.wanted[zone].cheap, now_us);
+        scale_class(data_centre, false, plan.wanted[data_centre].full_price, now_us);
+        scale_class(data_centre, true, plan.wanted[data_centre].cheap, now_us);
     }
-    settle(now_us);
+    apply_transitions(now_us);
 }
 
-void fleet_model::pay(std::int64_t elapsed_us, replay_result& result) const
+void fleet_model::add_paid_time(std::int64_t elapsed_us, replay_result& result) const
 {
     for (auto const& server : servers)
     {
         if (is_paid(server.state))
         {
-            (server.place.cheap ? result.cheap_ms : result.dear_ms) +=
+            (server.location.cheap ? result.cheap_ms : result.full_price_ms) +=
                 elapsed_us / micros_per_milli;
         }
     }
--- a/bench/model/fleet_model.hpp
+++ b/bench/model/fleet_model.hpp
@@ -1,4 +1,5 @@
-// The fleet of a replay: VMs that start, drain, change roles, crash and vanish.
+// Model of the fleet in a replay: VMs that start, drain, change roles, crash and are
+// reclaimed.
 //
 // Index: 1 server_state, 2 fleet_server, 3 fleet_model
 #ifndef MARIGOLDCRANK_MODEL_FLEET_MODEL_HPP
@@ -20,9 +21,9 @@
     off,
     starting,
     up,
-    leaving,    // drains, then is switched off
+    leaving,    // drains, then switches off
     role_drain, // drains for a role change
-    changing,   // in a role change
+    changing,   // changes its role and serves no calls
     restarting, // after a crash
     gone        // reclaimed
 };
@@ -30,7 +31,7 @@
 struct fleet_server
 {
     engine_model  engine;
-    trace_server  place;
+    trace_server  location;
     server_state  state = server_state::up;
     engine_role   wanted_role = engine_role::mixed;
     std::int64_t  until_us = 0;   // end of starting, changing or restarting
@@ -42,11 +43,11 @@
 public:
     fleet_model(trace const& input, replay_options const& options);
 
-    /// Whether routing may send new work to it.
+    /// Whether routing may send new calls to the engine.
     bool open(std::uint32_t engine) const;
 
-    /// Ends what has come to its end: starts, role changes, restarts, drains.
-    void settle(std::int64_t now_us);
+    /// Completes the starts, role changes, restarts and drains that are due.
+    void apply_transitions(std::int64_t now_us);
 
     void order_roles(engine_role_plan const& plan, std::int64_t now_us);
     void order_servers(spending_plan const& plan, std::int64_t now_us);
@@ -54,19 +55,20 @@
     std::vector<role_engine> role_engines() const;
     spending_input           spending_limits() const;
 
-    /// Counts paid time.
-    void pay(std::int64_t elapsed_us, replay_result& result) const;
+    /// Adds the elapsed time of all paid servers to the result.
+    void add_paid_time(std::int64_t elapsed_us, replay_result& result) const;
 
     std::vector<fleet_server> servers;
-    std::vector<bool>         zone_lost; // its cheap servers were reclaimed
-    std::int64_t              role_changes = 0;
+    std::vector<bool>
+                 data_centre_lost; // by data centre: its cheap servers were reclaimed
+    std::int64_t role_changes = 0;
 
 private:
-    void order_class(std::uint32_t zone, bool cheap, std::int64_t wanted,
+    void scale_class(std::uint32_t data_centre, bool cheap, std::int64_t wanted,
                      std::int64_t now_us);
 
     engine_costs  costs_;
-    std::uint32_t zones_ = 0;
+    std::uint32_t data_centres_ = 0;
 };
 
 } // namespace marigoldcrank::model
--- a/bench/model/quota_replay.cpp
+++ b/bench/model/quota_replay.cpp
@@ -1,6 +1,6 @@
-// A workspace's calls, call by call.
+// Simulation of a workspace's calls against its quota.
 //
-// Index: 1 calls, 2 audit, 3 homes
+// Index: 1 calls, 2 audit, 3 owners
 #include "quota_replay.hpp"
 
 #include "policy/quota_owner.hpp"
@@ -16,7 +16,7 @@
 
 // 1. Calls
 
-struct played_call
+struct simulated_call
 {
     millis       at{0};
     int          vm = 0;
@@ -33,13 +33,14 @@
     return at >= begin && at < end;
 }
 
-std::vector<played_call> draw_calls(quota_load const& load, int vms, std::uint64_t seed)
+std::vector<simulated_call> draw_calls(quota_load const& load, int vms,
+                                       std::uint64_t seed)
 {
     std::mt19937_64                    random(seed);
     std::uniform_int_distribution<int> any_vm(0, vms - 1);
     std::exponential_distribution<>    apart(1.0);
     std::lognormal_distribution<>      size(-0.5, 1.0); // mean 1
-    std::vector<played_call>           calls;
+    std::vector<simulated_call>        calls;
     constexpr double                   second_ms = 1000;
     double const usual = load.usual * static_cast<double>(load.quota.rate) /
                          static_cast<double>(load.mean_units) / second_ms;
@@ -59,7 +60,7 @@
 
 // 2. Audit
 
-/// Compares what ran with an exact bucket and with the bound on every window.
+/// Compares the units that ran with an exact bucket and with the bound on each window.
 class quota_audit
 {
 public:
@@ -71,11 +72,11 @@
     {
     }
 
-    void add(played_call const& call, bool ran, double wait_ms)
+    void add(simulated_call const& call, bool ran, double wait_ms)
     {
         bool const owed = !exact_.take(call.units, time_of(call.at));
-        owed_ += owed ? static_cast<double>(call.units) : 0;
-        missed_ += owed && !ran ? static_cast<double>(call.units) : 0;
+        within_quota_ += owed ? static_cast<double>(call.units) : 0;
+        refused_within_quota_ += owed && !ran ? static_cast<double>(call.units) : 0;
         wait_ms_ += wait_ms;
         ++calls_;
         if (ran)
@@ -89,7 +90,7 @@
             window_ -= static_cast<double>(recent_.front().units);
             recent_.pop_front();
         }
-        most_ = std::max(most_, window_);
+        max_window_ = std::max(max_window_, window_);
     }
 
     quota_figures figures(double messages) const
@@ -101,163 +102,167 @@
         auto const bound = static_cast<double>(load_.quota.rate) * window_s +
                            static_cast<double>(load_.quota.burst) +
                            static_cast<double>(replayed_terms.tolerance(load_.quota));
-        return {.overrun = most_ / bound,
-                .refused = missed_ / owed_,
+        return {.overrun = max_window_ / bound,
+                .refused = refused_within_quota_ / within_quota_,
                 .wait_ms = wait_ms_ / calls_,
                 .messages = messages / seconds,
-                .granted = ran_ / owed_};
+                .granted = ran_ / within_quota_};
     }
 
 private:
-    quota_load              load_;
-    quota_bucket            exact_;
-    std::deque<played_call> recent_; // of one window
-    double                  window_ = 0;
-    double                  most_ = 0;
-    double                  owed_ = 0;
-    double                  missed_ = 0;
-    double                  ran_ = 0;
-    double                  wait_ms_ = 0;
-    double                  calls_ = 0;
+    quota_load                 load_;
+    quota_bucket               exact_;
+    std::deque<simulated_call> recent_; // calls of the current window
+    double                     window_ = 0;
+    double                     max_window_ = 0;
+    double                     within_quota_ = 0;
+    double                     refused_within_quota_ = 0;
+    double                     ran_ = 0;
+    double                     wait_ms_ = 0;
+    double                     calls_ = 0;
 };
 
 } // namespace
 
-// 3. Homes
+// 3. Owners
 
 namespace
 {
 
-// 500   ms without a digest, after which a VM isn't heard any more
-constexpr millis digest_life{500};
-// 150   ms; what VMs that don't keep quotas know of them is older by so much
-constexpr millis relayed{150};
-// 150   ms until a question is given up
-constexpr millis question_patience{150};
-// 1000  ms; a silent VM is left alone for so long
-constexpr millis silent_pause{1000};
-// 2000  ms; without power
+// 500   ms; without a digest for this long, a VM counts as silent
+constexpr millis digest_lifetime{500};
+// 150   ms; added age of the digests at VMs that own no quotas
+constexpr millis relay_delay{150};
+// 150   ms; timeout of a query
+constexpr millis query_timeout{150};
+// 1000  ms; backoff from a VM that sent no reply
+constexpr millis silence_backoff{1000};
+// 2000  ms; duration of a power loss
 constexpr millis power_off{2000};
 
-/// The first VMs may keep the quota, VM 0 is the home. A cut takes every third VM, and
-/// the home by turns.
-class played_homes
+/// The first VMs can own the quota; VM 0 is the owner at first. A partition separates
+/// every third VM, and VM 0 if the seed is even.
+class simulated_owners
 {
 public:
-    played_homes(quota_load const& load, quota_trouble const& trouble, std::uint64_t seed)
+    simulated_owners(quota_load const& load, quota_trouble const& trouble,
+                     std::uint64_t seed)
         : load_(load), trouble_(trouble), random_(seed),
-          homes_(home_count, quota_owner{replayed_terms}), share_(home_count),
-          silent_(static_cast<std::size_t>(trouble.vms)), cut_home_(seed % 2 == 0)
+          owners_(owner_count, quota_owner{replayed_terms}), share_(owner_count),
+          silent_(static_cast<std::size_t>(trouble.vms)),
+          owner_partitioned_(seed % 2 == 0)
     {
-        note_shares(millis{0});
+        update_shares(millis{0});
     }
 
-    /// Whether the call may run; `wait_ms` is what the answers took.
-    bool admit(played_call const& call, double& wait_ms)
+    /// Returns whether the call may run. Adds the time of the queries to `wait_ms`.
+    bool admit(simulated_call const& call, double& wait_ms)
     {
         restart_if_due(call.at);
-        note_shares(call.at);
+        update_shares(call.at);
         quota_queries queries{order(call.vm, call.at)};
         bool          granted = false;
         while (!queries.address().empty())
         {
-            int const  home = std::stoi(queries.address());
-            auto const answer = ask(call, home, queries.left(), wait_ms);
+            int const  owner = std::stoi(queries.address());
+            auto const answer = query(call, owner, queries.left(), wait_ms);
             if (!answer)
             {
-                silent_[slot(call.vm)][home] = call.at + silent_pause;
+                silent_[slot(call.vm)][owner] = call.at + silence_backoff;
                 queries.take(quota_reply::silent);
                 continue;
             }
-            silent_[slot(call.vm)].erase(home);
+            silent_[slot(call.vm)].erase(owner);
             granted = answer->outcome == quota_outcome::granted;
             queries.take(answer->outcome == quota_outcome::declined
                              ? quota_reply::declined
                              : quota_reply::decided,
                          answer->home);
         }
-        return queries.decided() ? granted : admit_alone(call);
+        return queries.decided() ? granted : admit_isolated(call);
     }
 
     double messages = 0;
 
 private:
-    static constexpr int home_count = 6;
+    static constexpr int owner_count = 6;
 
     static std::size_t slot(int index)
     {
         return static_cast<std::size_t>(index);
     }
 
-    bool in_cut(int vm) const
+    bool in_partition(int vm) const
     {
-        return vm == 0 ? cut_home_ : vm % 3 == 2;
+        return vm == 0 ? owner_partitioned_ : vm % 3 == 2;
     }
 
-    bool apart(int left, int right, millis at) const
+    bool partitioned(int left, int right, millis at) const
     {
         return within(at, trouble_.cut_begin, trouble_.cut_end) &&
-               in_cut(left) != in_cut(right);
+               in_partition(left) != in_partition(right);
     }
 
-    bool lives(int home, millis at) const
+    bool is_running(int owner, millis at) const
     {
-        bool const dark = trouble_.restart.count() > 0 &&
-                          within(at, trouble_.restart, trouble_.restart + power_off);
+        bool const powered_off =
+            trouble_.restart.count() > 0 &&
+            within(at, trouble_.restart, trouble_.restart + power_off);
         bool const lost =
-            home == 0 && trouble_.home_lost.count() > 0 && at >= trouble_.home_lost;
-        return !dark && !lost;
+            owner == 0 && trouble_.home_lost.count() > 0 && at >= trouble_.home_lost;
+        return !powered_off && !lost;
     }
 
-    /// Whether digests of `home` have come to `vm` lately.
-    bool hears(int vm, int home, millis at) const
+    /// Whether `vm` receives the digests of `owner`.
+    bool hears_from(int vm, int owner, millis at) const
     {
-        return vm == home || (lives(home, at) && !apart(vm, home, at));
+        return vm == owner || (is_running(owner, at) && !partitioned(vm, owner, at));
     }
 
-    /// Whom a VM would ask: silent ones last.
+    /// Returns the owners that a VM queries, in order: those that sent no reply come
+    /// last.
     std::vector<std::string> order(int vm, millis at)
     {
         std::vector<std::string> result;
-        for (int home = 0; home < home_count; ++home)
+        for (int owner = 0; owner < owner_count; ++owner)
         {
-            if (hears(vm, home, at - digest_life - relayed))
+            if (hears_from(vm, owner, at - digest_lifetime - relay_delay))
             {
-                result.push_back(std::to_string(home));
+                result.push_back(std::to_string(owner));
             }
         }
         std::stable_partition(result.begin(), result.end(),
-                              [&](std::string const& home)
-                              { return at >= silent_[slot(vm)][std::stoi(home)]; });
+                              [&](std::string const& owner)
+                              { return at >= silent_[slot(vm)][std::stoi(owner)]; });
         return result;
     }
 
-    std::optional<quota_answer> ask(played_call const& call, int home,
-                                    std::string const& left, double& wait_ms)
+    std::optional<quota_answer> query(simulated_call const& call, int owner,
+                                      std::string const& left, double& wait_ms)
     {
-        bool const own = call.vm == home;
+        bool const own = call.vm == owner;
         messages += own ? 0 : 1;
         bool const lost =
             !own && std::bernoulli_distribution(trouble_.lost_asks)(random_);
-        if (lost || !lives(home, call.at) || apart(call.vm, home, call.at))
+        if (lost || !is_running(owner, call.at) || partitioned(call.vm, owner, call.at))
         {
-            wait_ms += static_cast<double>(question_patience.count());
+            wait_ms += static_cast<double>(query_timeout.count());
             return std::nullopt;
         }
         messages += own ? 0 : 1;
         wait_ms += own ? 0 : static_cast<double>(trouble_.round_trip.count());
-        return homes_[slot(home)].answer({"w", call.units, left}, load_.quota,
-                                         view(home, call.at), time_of(call.at));
+        return owners_[slot(owner)].answer({"w", call.units, left}, load_.quota,
+                                           view(owner, call.at), time_of(call.at));
     }
 
-    owner_view view(int home, millis at) const
+    owner_view view(int owner, millis at) const
     {
         owner_view result{
             .listed = true, .stopping = false, .predecessor = {}, .share = 1};
-        result.share = share_[slot(home)].value();
-        for (int other = 0; other < home && result.predecessor.empty(); ++other)
+        result.share = share_[slot(owner)].value();
+        for (int other = 0; other < owner && result.predecessor.empty(); ++other)
         {
-            if (hears(home, other, at - digest_life))
+            if (hears_from(owner, other, at - digest_lifetime))
             {
                 result.predecessor = std::to_string(other);
             }
@@ -265,33 +270,33 @@
         return result;
     }
 
-    /// Digests tell of VMs a few times a second.
-    void note_shares(millis at)
+    /// Counts the VMs heard by each owner, once per interval of the digests.
+    void update_shares(millis at)
     {
         constexpr millis digest_pause{150};
-        if (at < noted_ + digest_pause)
+        if (at < shares_updated_ + digest_pause)
         {
             return;
         }
-        noted_ = at;
-        for (int home = 0; home < home_count; ++home)
+        shares_updated_ = at;
+        for (int owner = 0; owner < owner_count; ++owner)
         {
             std::int64_t heard = 0;
             for (int vm = 0; vm < trouble_.vms; ++vm)
             {
-                heard += hears(home, vm, at - digest_life) ? 1 : 0;
+                heard += hears_from(owner, vm, at - digest_lifetime) ? 1 : 0;
             }
-            share_[slot(home)].note(heard, trouble_.vms, time_of(at));
+            share_[slot(owner)].note(heard, trouble_.vms, time_of(at));
         }
     }
 
-    /// Nobody who keeps the bucket can be asked: this VM's even share of the rate.
-    bool admit_alone(played_call const& call)
+    /// No owner can be queried: the VM admits calls up to its even share of the rate.
+    bool admit_isolated(simulated_call const& call)
     {
         auto const bounds =
             isolated_bounds(load_.quota, replayed_terms, 1.0 / trouble_.vms);
         auto const now = time_of(call.at);
-        auto const own = alone_.try_emplace(call.vm, bounds, now).first;
+        auto const own = isolated_buckets_.try_emplace(call.vm, bounds, now).first;
         return !own->second.take(call.units, now);
     }
 
@@ -301,19 +306,19 @@
             at >= trouble_.restart + power_off)
         {
             restarted_ = true;
-            homes_.assign(home_count, quota_owner{replayed_terms});
+            owners_.assign(owner_count, quota_owner{replayed_terms});
         }
     }
 
     quota_load                         load_;
     quota_trouble                      trouble_;
     std::mt19937_64                    random_;
-    std::vector<quota_owner>           homes_;
+    std::vector<quota_owner>           owners_;
     std::vector<fleet_share>           share_;
-    std::vector<std::map<int, millis>> silent_; // by VM and home: until then
-    std::map<int, quota_bucket>        alone_;
-    millis                             noted_{-1000};
-    bool                               cut_home_ = false;
+    std::vector<std::map<int, millis>> silent_; // by VM and owner: end of the backoff
+    std::map<int, quota_bucket>        isolated_buckets_;
+    millis                             shares_updated_{-1000};
+    bool                               owner_partitioned_ = false;
     bool                               restarted_ = false;
 };
 
@@ -322,14 +327,15 @@
 quota_figures play_homes(quota_load const& load, quota_trouble const& trouble,
                          std::uint64_t seed)
 {
-    played_homes fleet(load, trouble, seed);
-    quota_audit  audit(load);
+    simulated_owners fleet(load, trouble, seed);
+    quota_audit      audit(load);
     for (auto const& call : draw_calls(load, trouble.vms, seed))
     {
-        bool const dark = trouble.restart.count() > 0 &&
-                          within(call.at, trouble.restart, trouble.restart + power_off);
+        bool const powered_off =
+            trouble.restart.count() > 0 &&
+            within(call.at, trouble.restart, trouble.restart + power_off);
         double     wait_ms = 0;
-        bool const ran = !dark && fleet.admit(call, wait_ms);
+        bool const ran = !powered_off && fleet.admit(call, wait_ms);
         audit.add(call, ran, wait_ms);
     }
     return audit.figures(fleet.messages);
--- a/bench/model/replay.cpp
+++ b/bench/model/replay.cpp
@@ -1,4 +1,4 @@
-// Replay of a trace: entry points.
+// Entry points of a replay, and the oracle's view of the trace.
 #include "replay.hpp"
 
 #include "replay_run.hpp"
@@ -12,7 +12,7 @@
 {
 constexpr std::int64_t micros_per_second = 1'000'000;
 constexpr std::int64_t milli = 1'000;
-constexpr std::int64_t dear_price = 100;
+constexpr std::int64_t full_price_weight = 100;
 } // namespace
 
 char const* name_of(replay_policy policy) noexcept
@@ -34,7 +34,7 @@
 
 std::int64_t replay_result::price(std::int64_t cheap_price) const noexcept
 {
-    return dear_ms * dear_price + cheap_ms * cheap_price;
+    return full_price_ms * full_price_weight + cheap_ms * cheap_price;
 }
 
 replay_result run_replay(trace const& input, replay_options const& options)
@@ -42,7 +42,7 @@
     return replay_run(input, options).run();
 }
 
-std::vector<std::int64_t> known_need(trace const& input, replay_options const& options)
+std::vector<std::int64_t> oracle_need(trace const& input, replay_options const& options)
 {
     auto const seconds =
         static_cast<std::size_t>(input.duration_us / micros_per_second) + 1;
@@ -63,7 +63,7 @@
         work_us[second] +=
             (request.prompt - shared) * costs.prefill_us + request.output * token_us;
     }
-    // Work of one second spreads over those in which its streams run.
+    // The work of a second is spread over the 4 seconds in which its streams run.
     constexpr std::size_t     span = 4;
     std::vector<std::int64_t> need(seconds, 0);
     for (std::size_t second = 0; second < seconds; ++second)
--- a/bench/model/replay_engines.cpp
+++ b/bench/model/replay_engines.cpp
@@ -1,4 +1,4 @@
-// One replay in progress: engines, reports, faults, control.
+// A replay in progress: engines, reports, faults and control.
 #include "replay_run.hpp"
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 {
 constexpr std::int64_t milli = 1'000;
 constexpr std::int64_t micros_per_second = 1'000'000;
-constexpr std::int64_t control_milli = 500; // between control steps
-constexpr std::int64_t servers_every_s = 1; // VM orders
+constexpr std::int64_t control_milli = 500; // ms between control steps
+constexpr std::int64_t servers_every_s = 1; // seconds between orders of VMs
 
 void smooth(std::int64_t& average, std::int64_t arrived, std::int64_t window_ms)
 {
@@ -50,16 +50,16 @@
     auto& server = fleet_.servers[event.subject];
     if (event.number != server.generation || !server.engine.stepping())
     {
-        return; // the step ended with a crash or a loss
+        return; // a crash or the loss of the engine ended the step
     }
-    std::vector<cache_event> news;
-    auto const               result = server.engine.end_step(news);
+    std::vector<cache_event> new_events;
+    auto const               result = server.engine.end_step(new_events);
     if (result.crashed)
     {
         crash(event.subject);
         return;
     }
-    publish(news);
+    publish(new_events);
     for (auto const id : result.tokens)
     {
         token(calls_[id]);
@@ -71,16 +71,17 @@
     start_step(event.subject);
 }
 
-void replay_run::publish(std::vector<cache_event> const& news)
+void replay_run::publish(std::vector<cache_event> const& new_events)
 {
-    for (auto const& event : news)
+    for (auto const& event : new_events)
     {
-        news_.push_back(event);
-        bool const lost = cache_gap_ != 0 && event.sequence % cache_gap_ == 0;
+        cache_events_.push_back(event);
+        bool const lost =
+            cache_event_loss_ != 0 && event.sequence % cache_event_loss_ == 0;
         if (!lost)
         {
-            schedule(options_.event_lag_us, event_kind::cache_news, event.engine,
-                     news_.size() - 1);
+            schedule(options_.event_lag_us, event_kind::cache_event_read, event.engine,
+                     cache_events_.size() - 1);
         }
     }
 }
@@ -91,15 +92,15 @@
     auto& server = fleet_.servers[engine];
     server.state = server_state::restarting;
     server.until_us = now_us_ + options_.costs.restart_us;
-    lose(engine, true);
+    drop_work(engine, true);
 }
 
-/// All that the engine held fails; its entry VMs learn it from their broken streams.
-void replay_run::lose(std::uint32_t engine, bool crashed)
+/// Fails all calls at the engine; the entry VMs see their streams break.
+void replay_run::drop_work(std::uint32_t engine, bool crashed)
 {
     auto const calls = fleet_.servers[engine].engine.crash();
     ++fleet_.servers[engine].generation;
-    sync_open();
+    sync_views();
     for (auto& entry : entries_)
     {
         entry.prefixes.forget_engine(engine);
@@ -108,12 +109,12 @@
     {
         fail(calls_[id], crashed);
     }
-    for (auto const id : std::vector<std::uint32_t>(parked_))
+    for (auto const id : std::vector<std::uint32_t>(awaiting_decode_))
     {
         if (calls_[id].engine == engine)
         {
-            std::erase(parked_, id);
-            calls_[id].parked = false;
+            std::erase(awaiting_decode_, id);
+            calls_[id].awaiting_decode = false;
             fail(calls_[id], crashed);
         }
     }
@@ -148,13 +149,13 @@
     }
     for (auto const id : std::exchange(waiting_suspects_, {}))
     {
-        try_again(calls_[id], true);
+        retry(calls_[id], true);
     }
-    std::erase_if(parked_,
+    std::erase_if(awaiting_decode_,
                   [&](std::uint32_t id)
                   {
-                      calls_[id].parked = !move(calls_[id]);
-                      return !calls_[id].parked;
+                      calls_[id].awaiting_decode = !hand_off(calls_[id]);
+                      return !calls_[id].awaiting_decode;
                   });
 }
 
@@ -162,12 +163,12 @@
 {
     switch (fault.kind)
     {
-    case fault_kind::vanish:
-        fleet_.zone_lost[static_cast<std::size_t>(fault.first)] = true;
+    case fault_kind::cheap_servers_reclaimed:
+        fleet_.data_centre_lost[static_cast<std::size_t>(fault.first)] = true;
         for (std::uint32_t engine = 0; engine < fleet_.servers.size(); ++engine)
         {
             auto& server = fleet_.servers[engine];
-            if (server.place.cheap && server.place.zone == fault.first)
+            if (server.location.cheap && server.location.data_centre == fault.first)
             {
                 server.state = server_state::gone;
             }
@@ -176,15 +177,15 @@
         {
             if (fleet_.servers[engine].state == server_state::gone)
             {
-                lose(engine, false);
+                drop_work(engine, false);
             }
         }
         break;
     case fault_kind::report_lag:
         late_reports_us_ = fault.first * milli;
         break;
-    case fault_kind::cache_gap:
-        cache_gap_ = static_cast<std::uint64_t>(fault.first);
+    case fault_kind::cache_event_loss:
+        cache_event_loss_ = static_cast<std::uint64_t>(fault.first);
         break;
     case fault_kind::slow:
         fleet_.servers[static_cast<std::size_t>(fault.first)].engine.slow_factor =
@@ -193,7 +194,7 @@
     }
 }
 
-void replay_run::sync_open()
+void replay_run::sync_views()
 {
     for (auto& entry : entries_)
     {
@@ -233,29 +234,30 @@
     auto       input = fleet_.spending_limits();
     auto const second = static_cast<std::size_t>(now_us_ / micros_per_second);
     input.need_milli = need_milli_;
-    if (options_.known_need_milli.empty())
+    if (options_.oracle_need_milli.empty())
     {
         fleet_.order_servers(spending_.step(input, time_at(now_us_)), now_us_);
         return;
     }
-    // An oracle orders what is needed from now until an order of now is served.
+    // The oracle orders the maximum need until a VM ordered now is in service.
     auto const until =
         second + static_cast<std::size_t>(options_.costs.start_us / micros_per_second);
     input.need_milli = 0;
-    for (auto at = second; at <= until && at < options_.known_need_milli.size(); ++at)
+    for (auto at = second; at <= until && at < options_.oracle_need_milli.size(); ++at)
     {
-        input.need_milli = std::max(input.need_milli, options_.known_need_milli[at]);
+        input.need_milli = std::max(input.need_milli, options_.oracle_need_milli[at]);
     }
     fleet_.order_servers(plan_spending(input, options_.spend), now_us_);
 }
 
-/// With the heartbeats.
+/// Exchanges the digests of usage between all entry VMs, as heartbeats carry them.
 void replay_run::exchange_digests()
 {
-    constexpr std::size_t most_in_digest = 64;
+    constexpr std::size_t max_digest_workspaces = 64;
     for (std::uint32_t from = 0; from < entries_.size(); ++from)
     {
-        auto const uses = entries_[from].shares.digest(time_at(now_us_), most_in_digest);
+        auto const uses =
+            entries_[from].shares.digest(time_at(now_us_), max_digest_workspaces);
         for (std::uint32_t to = 0; to < entries_.size(); ++to)
         {
             if (to != from)
@@ -270,8 +272,8 @@
 {
     if (now_us_ > trace_.duration_us)
     {
-        fleet_.settle(now_us_);
-        sync_open();
+        fleet_.apply_transitions(now_us_);
+        sync_views();
         return;
     }
     auto const window = options_.roles.smooth_ms;
@@ -281,19 +283,20 @@
     smooth(demand_.output_tokens, arrived_.output_tokens, window);
     arrived_ = {};
     need_milli_ = compute_role_need(demand_, options_.costs);
-    fleet_.pay(now_us_ - controlled_us_, result_);
-    controlled_us_ = now_us_;
-    fleet_.settle(now_us_);
-    bool const ours = entries_.front().ours();
-    if (ours && options_.policy != replay_policy::mixed_only)
+    fleet_.add_paid_time(now_us_ - last_control_us_, result_);
+    last_control_us_ = now_us_;
+    fleet_.apply_transitions(now_us_);
+    bool const uses_decision_core = entries_.front().uses_decision_core();
+    if (uses_decision_core && options_.policy != replay_policy::mixed_only)
     {
         plan_roles();
     }
-    if (ours && options_.spending && now_us_ % (servers_every_s * micros_per_second) == 0)
+    if (uses_decision_core && options_.spending &&
+        now_us_ % (servers_every_s * micros_per_second) == 0)
     {
         plan_servers();
     }
-    sync_open();
+    sync_views();
     exchange_digests();
     for (auto& entry : entries_)
     {
@@ -308,8 +311,8 @@
     {
         bool const paid =
             server.state != server_state::off && server.state != server_state::gone;
-        now.full_price += paid && !server.place.cheap;
-        now.cheap += paid && server.place.cheap;
+        now.full_price += paid && !server.location.cheap;
+        now.cheap += paid && server.location.cheap;
     }
 }
 
--- a/bench/model/replay_run.cpp
+++ b/bench/model/replay_run.cpp
@@ -1,4 +1,4 @@
-// One replay in progress: calls.
+// A replay in progress: the calls.
 #include "replay_run.hpp"
 
 #include <algorithm>
@@ -8,15 +8,17 @@
 
 namespace
 {
-constexpr std::int64_t service_us = 80'000;      // one call of a plain service
-constexpr std::int64_t allowed_gap_divisor = 20; // 5 of 100 gaps may be slow
-constexpr std::int64_t horizon_us = 30'000'000;  // after the last arrival
+constexpr std::int64_t service_call_us = 80'000; // duration of a call of a plain service
+constexpr std::int64_t allowed_gap_divisor = 20; // at most 5 of 100 gaps may be slow
+constexpr std::int64_t drain_limit_us =
+    30'000'000; // time for calls to end after the trace
 constexpr std::int64_t tick_us = 10'000;
 constexpr std::int64_t control_us = 500'000;
 constexpr std::int64_t bucket_us = 5'000'000;
 
-/// Spreads calls over the entry VMs as a balancer does, without a pattern.
-std::uint32_t mix(std::uint32_t value)
+/// Hashes the id of a call, to spread calls over the entry VMs without a pattern, as a
+/// load balancer does.
+std::uint32_t hash_call_id(std::uint32_t value)
 {
     std::uint64_t mixed = value * 0x9E3779B97F4A7C15ULL;
     mixed ^= mixed >> 29U;
@@ -49,7 +51,7 @@
     return entries_[call.entry];
 }
 
-void replay_run::digest(std::uint64_t value)
+void replay_run::hash_decision(std::uint64_t value)
 {
     result_.decisions = (result_.decisions ^ value) * 0x100000001B3ULL;
 }
@@ -79,7 +81,7 @@
     schedule(0, event_kind::report_made);
     schedule(tick_us, event_kind::tick);
     schedule(control_us, event_kind::control);
-    while (!events_.empty() && events_.top().at_us < trace_.duration_us + horizon_us)
+    while (!events_.empty() && events_.top().at_us < trace_.duration_us + drain_limit_us)
     {
         auto const event = events_.top();
         events_.pop();
@@ -124,18 +126,18 @@
             }
         }
         break;
-    case event_kind::cache_news:
+    case event_kind::cache_event_read:
         for (auto& entry : entries_)
         {
-            entry.prefixes.take(news_[event.number], time_at(now_us_));
+            entry.prefixes.take(cache_events_[event.number], time_at(now_us_));
         }
         break;
-    case event_kind::move_end:
-        moved(calls_[event.subject]);
+    case event_kind::handoff_end:
+        finish_handoff(calls_[event.subject]);
         break;
     case event_kind::service_end:
         calls_[event.subject].done = true;
-        ++result_.once_done;
+        ++result_.non_repeatable_done;
         break;
     case event_kind::tick:
         tick();
@@ -160,7 +162,7 @@
     auto&       call = calls_.emplace_back();
     call.request = request;
     call.id = static_cast<std::uint32_t>(index);
-    call.entry = mix(call.id) % options_.entries;
+    call.entry = hash_call_id(call.id) % options_.entries;
     if (index + 1 < trace_.requests.size())
     {
         schedule(trace_.requests[index + 1].at_us - now_us_, event_kind::arrival);
@@ -191,45 +193,48 @@
         ++own.offered;
         ++bucket(now_us_).offered;
         ++bucket(now_us_).workspace_offered[request.workspace];
-        result_.shift_offered += trace_.shift.holds(now_us_);
-        own.flood_offered += trace_.flood.holds(now_us_);
+        result_.shift_offered += trace_.shift.contains(now_us_);
+        own.flood_offered += trace_.flood.contains(now_us_);
         own.flood_tokens +=
-            trace_.flood.holds(now_us_) ? request.prompt + request.output : 0;
+            trace_.flood.contains(now_us_) ? request.prompt + request.output : 0;
     }
     admit(call);
 }
 
-/// The baselines know nothing of price; ours keeps what can't be repeated off servers
-/// that may vanish with it.
+/// The decision core keeps calls that must not be repeated off cheap servers, which may
+/// be reclaimed during the call. The baselines ignore the price.
 void replay_run::arrive_once(call_state& call)
 {
     std::vector<engine_view> views(trace_.services.size());
     for (std::size_t index = 0; index < views.size(); ++index)
     {
         views[index].cheap = trace_.services[index].cheap;
-        // The services take turns.
+        // The loads are set so that the services take turns.
         views[index].own.streams =
             static_cast<std::int64_t>((call.id + index) % views.size());
     }
-    bool const     ours = entry_of(call).ours();
-    engine_request wanted{
-        .prompt_tokens = 0, .may_use_cheap = !ours, .hits = {}, .excluded = {}};
+    bool const     uses_decision_core = entry_of(call).uses_decision_core();
+    engine_request wanted{.prompt_tokens = 0,
+                          .may_use_cheap = !uses_decision_core,
+                          .hits = {},
+                          .excluded = {}};
     auto const decision = choose_engine(views, wanted, options_.speed, options_.route);
-    digest(decision.engine);
+    hash_decision(decision.engine);
     result_.once_on_cheap += views[decision.engine].cheap;
-    schedule(service_us, event_kind::service_end, call.id);
+    schedule(service_call_us, event_kind::service_end, call.id);
 }
 
 void replay_run::admit(call_state& call)
 {
     auto& entry = entry_of(call);
-    if (crashes_of_[call.content()] >= options_.admission.max_crashes && entry.ours())
+    if (crash_counts_[call.content()] >= options_.admission.max_crashes &&
+        entry.uses_decision_core())
     {
         refuse(call, "poison");
         return;
     }
     auto const decision = entry.choose(call, now_us_);
-    if (!entry.ours())
+    if (!entry.uses_decision_core())
     {
         if (decision.engine == no_engine)
         {
@@ -239,9 +244,9 @@
         dispatch(call, decision, 0);
         return;
     }
-    auto const judged = entry.judge(call, decision, now_us_);
-    digest(static_cast<std::uint64_t>(judged.verdict) +
-           static_cast<std::uint64_t>(judged.input.predicted_us));
+    auto const judged = entry.evaluate_admission(call, decision, now_us_);
+    hash_decision(static_cast<std::uint64_t>(judged.verdict) +
+                  static_cast<std::uint64_t>(judged.input.predicted_us));
     switch (judged.verdict)
     {
     case admission_verdict::dispatch:
@@ -267,7 +272,7 @@
     }
 }
 
-/// The other entry VMs hear of a dispatch after one way over the network.
+/// The other entry VMs receive the notice of a dispatch after `network_us`.
 void replay_run::notify(call_state const& call, std::int64_t tokens)
 {
     if (options_.notices)
@@ -287,9 +292,9 @@
 void replay_run::dispatch(call_state& call, engine_decision const& decision,
                           std::int64_t priority)
 {
-    digest(decision.engine);
-    entry_of(call).begin(call, decision, now_us_);
-    notify(call, call.counted_tokens);
+    hash_decision(decision.engine);
+    entry_of(call).record_dispatch(call, decision, now_us_);
+    notify(call, call.counted_prefill_tokens);
     result_.poison_runs += call.request.poison;
     auto const prefix = call.request.prefix;
     fleet_.servers[call.engine].engine.submit(
@@ -309,7 +314,7 @@
 void replay_run::first_token(call_state& call)
 {
     auto& entry = entry_of(call);
-    entry.computed(call);
+    entry.record_prefill_done(call);
     entry.observe(call.engine, now_us_ - call.dispatched_us, call.expected_us, now_us_);
     if (call.first_token_us < 0)
     {
@@ -326,12 +331,12 @@
         finish(call);
         return;
     }
-    move_or_stay(call);
+    hand_off_after_prefill(call);
 }
 
 void replay_run::count_gap(call_state& call)
 {
-    auto const target = trace_.workspaces[call.request.workspace].between_us;
+    auto const target = trace_.workspaces[call.request.workspace].between_tokens_us;
     call.slow_gaps += now_us_ - call.last_token_us > target;
 }
 
@@ -355,22 +360,22 @@
     auto const& workspace = trace_.workspaces[call.request.workspace];
     call.done = true;
     fleet_.servers[call.engine].engine.remove(call.id);
-    entry_of(call).left(call, call.engine);
+    entry_of(call).record_departure(call, call.engine);
     auto const size = call.request.prompt + call.request.output;
     result_.tokens += size;
-    result_.cheap_tokens += fleet_.servers[call.engine].place.cheap ? size : 0;
+    result_.cheap_tokens += fleet_.servers[call.engine].location.cheap ? size : 0;
     if (call.request.poison)
     {
         return;
     }
     auto const allowed =
         std::max<std::int64_t>(1, (call.request.output - 1) / allowed_gap_divisor);
-    bool const prompt =
+    bool const first_on_time =
         call.first_token_us - call.request.at_us <= workspace.first_token_us;
-    if (!prompt || call.slow_gaps > allowed)
+    if (!first_on_time || call.slow_gaps > allowed)
     {
         ++result_.late;
-        result_.late_first += !prompt;
+        result_.late_first_token += !first_on_time;
         return;
     }
     auto const at = call.request.at_us;
@@ -379,25 +384,27 @@
     ++own.good;
     ++bucket(at).good;
     ++bucket(at).workspace_good[call.request.workspace];
-    result_.shift_good += trace_.shift.holds(at);
-    own.flood_good += trace_.flood.holds(at);
-    own.flood_good_tokens += trace_.flood.holds(at) ? size : 0;
+    result_.shift_good += trace_.shift.contains(at);
+    own.flood_good += trace_.flood.contains(at);
+    own.flood_good_tokens += trace_.flood.contains(at) ? size : 0;
 }
 
-/// After its prompt is computed on an engine used for prompts, a call goes on elsewhere.
-void replay_run::move_or_stay(call_state& call)
+/// Hands a call off after prefill at an engine that is used for prefill. If no engine can
+/// decode it and its engine has the prefill role, the call waits.
+void replay_run::hand_off_after_prefill(call_state& call)
 {
     auto const& view = entry_of(call).views[call.engine];
-    bool const  must = fleet_.servers[call.engine].engine.role == engine_role::prefill;
-    if ((view.use == engine_use::prefill || must) && !move(call) && must)
+    bool const  must_move =
+        fleet_.servers[call.engine].engine.role == engine_role::prefill;
+    if ((view.use == engine_use::prefill || must_move) && !hand_off(call) && must_move)
     {
         fleet_.servers[call.engine].engine.remove(call.id);
-        call.parked = true;
-        parked_.push_back(call.id);
+        call.awaiting_decode = true;
+        awaiting_decode_.push_back(call.id);
     }
 }
 
-bool replay_run::move(call_state& call)
+bool replay_run::hand_off(call_state& call)
 {
     auto&      entry = entry_of(call);
     auto const target = choose_decode_engine(entry.views, options_.speed);
@@ -405,26 +412,26 @@
     {
         return false;
     }
-    digest(target);
+    hash_decision(target);
     fleet_.servers[call.engine].engine.remove(call.id);
-    entry.left(call, call.engine);
+    entry.record_departure(call, call.engine);
     ++entry.views[target].own.streams;
     call.engine = target;
     notify(call, 0);
-    call.moving_to = target;
-    schedule(options_.costs.move_us + options_.costs.move_token_us * call.prompt(),
-             event_kind::move_end, call.id);
+    call.handoff_target = target;
+    schedule(options_.costs.handoff_us + options_.costs.handoff_token_us * call.prompt(),
+             event_kind::handoff_end, call.id);
     return true;
 }
 
-void replay_run::moved(call_state& call)
+void replay_run::finish_handoff(call_state& call)
 {
-    if (call.done || call.moving_to == no_engine)
+    if (call.done || call.handoff_target == no_engine)
     {
         return;
     }
-    auto const target = call.moving_to;
-    call.moving_to = no_engine;
+    auto const target = call.handoff_target;
+    call.handoff_target = no_engine;
     auto const state = fleet_.servers[target].state;
     bool const alive = state == server_state::up || state == server_state::leaving ||
                        state == server_state::role_drain;
@@ -448,20 +455,20 @@
 void replay_run::fail(call_state& call, bool crashed)
 {
     auto& entry = entry_of(call);
-    call.moving_to = no_engine;
-    entry.left(call, call.engine);
+    call.handoff_target = no_engine;
+    entry.record_departure(call, call.engine);
     ++entry.views[call.engine].failures;
     call.excluded.push_back(call.engine);
-    crashes_of_[call.content()] += crashed;
+    crash_counts_[call.content()] += crashed;
     retry_input input{.repeatable = true,
                       .attempts = call.attempts,
-                      .content_crashes = crashes_of_[call.content()],
+                      .content_crashes = crash_counts_[call.content()],
                       .alone = call.suspect,
                       .recent_requests = entry.recent_requests,
                       .recent_retries = entry.recent_retries};
-    if (!entry.ours())
+    if (!entry.uses_decision_core())
     {
-        input.content_crashes = 0; // baselines know no suspects and no budget
+        input.content_crashes = 0; // the baselines have no suspects and no retry budget
         input.recent_retries = 0;
     }
     auto const decision = decide_retry(input, options_.admission);
@@ -470,11 +477,12 @@
         refuse(call, name_of(decision.cause));
         return;
     }
-    try_again(call, decision.verdict == retry_verdict::retry_alone);
+    retry(call, decision.verdict == retry_verdict::retry_alone);
 }
 
-/// Suspects run apart from one another: then a second crash convicts only the one.
-void replay_run::try_again(call_state& call, bool alone)
+/// Runs suspects on separate engines, so that a second crash identifies the one that
+/// caused it.
+void replay_run::retry(call_state& call, bool alone)
 {
     auto&      entry = entry_of(call);
     auto const failed = call.excluded;
--- a/bench/model/replay_table.cpp
+++ b/bench/model/replay_table.cpp
@@ -1,4 +1,4 @@
-// The side-by-side table of one trace.
+// Table that compares the policies on one trace.
 #include "replay_table.hpp"
 
 #include "policy/fair_share.hpp"
@@ -13,7 +13,7 @@
 {
 constexpr std::int64_t milli = 1'000;
 constexpr std::int64_t ms_per_hour = 3'600'000;
-constexpr std::int64_t oracle_share = 980; // thousandths of the goodput it must keep
+constexpr std::int64_t oracle_goodput_milli = 980; // thousandths of the goodput to keep
 
 std::string fixed(std::int64_t thousandths)
 {
@@ -35,13 +35,13 @@
 policy_run run_oracle(trace const& input, replay_options options, std::int64_t goodput)
 {
     options.policy = replay_policy::full;
-    options.known_need_milli = known_need(input, options);
+    options.oracle_need_milli = oracle_need(input, options);
     policy_run best;
     for (std::int64_t fill = 40; fill <= 95; fill += 5)
     {
         options.spend.fill_percent = fill;
         auto       result = run_replay(input, options);
-        bool const keeps = result.good * milli >= goodput * oracle_share;
+        bool const keeps = result.good * milli >= goodput * oracle_goodput_milli;
         bool const cheaper =
             best.name.empty() || result.price(options.spend.cheap_price) <
                                      best.result.price(options.spend.cheap_price);
@@ -120,16 +120,16 @@
 /// Order of run_all's result.
 enum run_index : std::size_t
 {
-    turns_run,
-    least_run,
-    mixed_run,
-    fixed_run,
-    own_run,
+    round_robin_run,
+    least_load_run,
+    mixed_only_run,
+    no_changes_run,
+    full_run,
     all_servers_run,
     oracle_run
 };
 
-std::int64_t over(std::int64_t part, std::int64_t whole)
+std::int64_t ratio_milli(std::int64_t part, std::int64_t whole)
 {
     return part * milli / std::max<std::int64_t>(1, whole);
 }
@@ -137,25 +137,27 @@
 
 goal_ratios ratios_of(trace const& input, std::vector<policy_run> const& runs)
 {
-    auto const& own = runs[own_run].result;
-    auto const& turns = runs[turns_run].result;
-    auto const& least = runs[least_run].result;
-    auto const& fixed_roles = runs[fixed_run].result;
+    auto const& own = runs[full_run].result;
+    auto const& turns = runs[round_robin_run].result;
+    auto const& least = runs[least_load_run].result;
+    auto const& fixed_roles = runs[no_changes_run].result;
     auto const  simple_shift = std::max(turns.shift_good, least.shift_good);
     auto const  simple_good = std::max(turns.good, least.good);
     goal_ratios ratios;
-    ratios.good = over(own.good, std::max(simple_good, fixed_roles.good));
+    ratios.good = ratio_milli(own.good, std::max(simple_good, fixed_roles.good));
     bool const shifts = input.shift.to_us > 0;
-    ratios.shift =
-        shifts ? over(own.shift_good, std::max(simple_shift, fixed_roles.shift_good)) : 0;
-    ratios.simple =
-        shifts ? over(own.shift_good, simple_shift) : over(own.good, simple_good);
+    ratios.shift = shifts ? ratio_milli(own.shift_good,
+                                        std::max(simple_shift, fixed_roles.shift_good))
+                          : 0;
+    ratios.simple = shifts ? ratio_milli(own.shift_good, simple_shift)
+                           : ratio_milli(own.good, simple_good);
     ratios.worst = worst_served_milli(input, own);
     ratios.changes = own.role_changes;
     if (runs.size() > oracle_run)
     {
         auto const price = spending_options{}.cheap_price;
-        ratios.spent = over(own.price(price), runs[oracle_run].result.price(price));
+        ratios.spent =
+            ratio_milli(own.price(price), runs[oracle_run].result.price(price));
     }
     return ratios;
 }
@@ -197,7 +199,7 @@
     auto const&        result = run.result;
     out << run.name << " good=" << result.good << " late=" << result.late
         << " unfinished=" << result.unfinished << " changes=" << result.role_changes
-        << " crashes=" << result.crashes << " dear_ms=" << result.dear_ms
+        << " crashes=" << result.crashes << " dear_ms=" << result.full_price_ms
         << " cheap_ms=" << result.cheap_ms << " refused:" << causes(result)
         << " decisions=" << std::hex << result.decisions << "\n";
     return out.str();
@@ -236,9 +238,9 @@
             << ratio(result.good, result.offered) << " | "
             << ratio(result.shift_good, result.shift_offered) << " | "
             << fixed(worst_served_milli(input, result)) << " | "
-            << result.late + result.unfinished << " (" << result.late_first << ") | "
-            << result.role_changes << " | "
-            << ratio(result.dear_ms * input.scale, ms_per_hour) << " | "
+            << result.late + result.unfinished << " (" << result.late_first_token
+            << ") | " << result.role_changes << " | "
+            << ratio(result.full_price_ms * input.scale, ms_per_hour) << " | "
             << ratio(result.cheap_ms * input.scale, ms_per_hour) << " | "
             << ratio(result.cheap_tokens, result.tokens) << " | " << result.once_on_cheap
             << " | " << result.crashes << " | " << causes(result) << " |\n";
--- a/bench/model/trace.cpp
+++ b/bench/model/trace.cpp
@@ -1,4 +1,4 @@
-// Parsing of traces.
+// Parser of the text format of traces.
 #include "trace.hpp"
 
 #include <fstream>
@@ -15,24 +15,25 @@
 
 using line_parser = std::function<bool(std::istringstream&, trace&)>;
 
-bool parse_zone(std::string const& text, std::uint32_t& zone)
+bool parse_data_centre(std::string const& text, std::uint32_t& data_centre)
 {
     constexpr std::size_t digit = 3; // "dc-N"
     if (text.size() != digit + 1 || text.rfind("dc-", 0) != 0)
     {
         return false;
     }
-    zone = static_cast<std::uint32_t>(text[digit] - '1');
-    return zone <= 8;
+    data_centre = static_cast<std::uint32_t>(text[digit] - '1');
+    return data_centre <= 8;
 }
 
 bool parse_servers(std::istringstream& line, std::vector<trace_server>& servers)
 {
-    std::string  zone;
+    std::string  data_centre;
     std::string  price;
     std::int64_t count = 0;
     trace_server server;
-    if (!(line >> zone >> price >> count) || !parse_zone(zone, server.zone))
+    if (!(line >> data_centre >> price >> count) ||
+        !parse_data_centre(data_centre, server.data_centre))
     {
         return false;
     }
@@ -44,9 +45,9 @@
 bool parse_fault(std::istringstream& line, trace& value)
 {
     static std::map<std::string, fault_kind> const kinds{
-        {"vanish", fault_kind::vanish},
+        {"vanish", fault_kind::cheap_servers_reclaimed},
         {"report_lag", fault_kind::report_lag},
-        {"cache_gap", fault_kind::cache_gap},
+        {"cache_gap", fault_kind::cache_event_loss},
         {"slow", fault_kind::slow}};
     trace_fault  fault;
     std::int64_t at_ms = 0;
@@ -58,11 +59,11 @@
     fault.at_us = at_ms * micros_per_milli;
     fault.kind = kinds.at(kind);
     bool good = true;
-    if (fault.kind == fault_kind::vanish)
+    if (fault.kind == fault_kind::cheap_servers_reclaimed)
     {
-        std::string   zone;
+        std::string   data_centre;
         std::uint32_t number = 0;
-        good = (line >> zone) && parse_zone(zone, number);
+        good = (line >> data_centre) && parse_data_centre(data_centre, number);
         fault.first = number;
     }
     else
@@ -104,9 +105,9 @@
 {
     trace_workspace workspace;
     line >> workspace.name >> workspace.weight >> workspace.first_token_us >>
-        workspace.between_us;
+        workspace.between_tokens_us;
     workspace.first_token_us *= micros_per_milli;
-    workspace.between_us *= micros_per_milli;
+    workspace.between_tokens_us *= micros_per_milli;
     value.workspaces.push_back(workspace);
     return !line.fail();
 }
@@ -157,7 +158,7 @@
         {"flood",
          [](auto& line, trace& value)
          {
-             return parse_span(line, value.flood) && bool(line >> value.flooder);
+             return parse_span(line, value.flood) && bool(line >> value.flood_workspace);
          }},
         {"fault", parse_fault},
         {"r",
--- a/bench/model/trace.hpp
+++ b/bench/model/trace.hpp
@@ -1,6 +1,8 @@
-// A recorded trace as values; scripts/make_traces.py describes the text form.
+// Recorded trace of requests, servers and faults; scripts/make_traces.py describes its
+// text format.
 //
-// Index: 1 trace_request, 2 trace_fault, 3 trace, 4 parse_trace
+// Index: 1 trace_request, 2 trace_workspace, 3 trace_server, 4 trace_fault, 5 trace_span,
+//        6 trace, 7 parse_trace
 #ifndef MARIGOLDCRANK_MODEL_TRACE_HPP
 #define MARIGOLDCRANK_MODEL_TRACE_HPP
 
@@ -19,9 +21,9 @@
     std::uint32_t workspace = 0;
     std::int64_t  prompt = 0;
     std::int64_t  output = 0;
-    std::int32_t  prefix = -1; // -1: none shared
+    std::int32_t  prefix = -1; // index of the shared prefix; -1: none
     bool          poison = false;
-    bool          once = false; // a service call that may not be repeated
+    bool          once = false; // call of a plain service that must not be repeated
 
     bool operator==(trace_request const&) const = default;
 };
@@ -31,14 +33,14 @@
     std::string  name;
     std::int64_t weight = 1;
     std::int64_t first_token_us = 0;
-    std::int64_t between_us = 0;
+    std::int64_t between_tokens_us = 0;
 
     bool operator==(trace_workspace const&) const = default;
 };
 
 struct trace_server
 {
-    std::uint32_t zone = 0;
+    std::uint32_t data_centre = 0;
     bool          cheap = false;
 
     bool operator==(trace_server const&) const = default;
@@ -46,10 +48,10 @@
 
 enum class fault_kind
 {
-    vanish,     // all cheap servers of a zone
-    report_lag, // half the engines' reports
-    cache_gap,  // every n-th cache event is lost
-    slow        // one engine, by a factor
+    cheap_servers_reclaimed, // all cheap servers of a data centre are reclaimed
+    report_lag,              // load reports of half the engines arrive late
+    cache_event_loss,        // every n-th event of an engine's cache is lost
+    slow                     // the steps of one engine take longer by a factor
 };
 
 struct trace_fault
@@ -62,13 +64,13 @@
     bool operator==(trace_fault const&) const = default;
 };
 
-/// From and to, in microseconds; empty if both are 0.
+/// Half-open interval of time, in microseconds; empty if both ends are 0.
 struct trace_span
 {
     std::int64_t from_us = 0;
     std::int64_t to_us = 0;
 
-    bool holds(std::int64_t at_us) const noexcept
+    bool contains(std::int64_t at_us) const noexcept
     {
         return at_us >= from_us && at_us < to_us;
     }
@@ -87,16 +89,16 @@
     std::vector<trace_fault>     faults;
     trace_span                   shift;
     trace_span                   flood;
-    std::uint32_t                flooder = 0;
+    std::uint32_t                flood_workspace = 0;
     std::vector<trace_request>   requests;
 
     bool operator==(trace const&) const = default;
 };
 
-/// Parses a trace. Fails with message_failure.
+/// Parses the text of a trace. Fails with message_failure that names the bad line.
 leaf::result<trace> parse_trace(std::string const& text);
 
-/// Reads and parses a file. Fails with message_failure.
+/// Reads and parses a trace file. Fails with message_failure.
 leaf::result<trace> load_trace(std::string const& path);
 
 } // namespace marigoldcrank::model
