--- a/bench/model/engine_model.hpp
+++ b/bench/model/engine_model.hpp
@@ -24,22 +24,19 @@
 /// Parameters of the cost model; docs/notes/policy.md lists them in a table.
 struct engine_costs
 {
-    std::int64_t prefill_us = 50;        // 50      a prompt token, microseconds
-    std::int64_t step_us = 15'000;       // 15000   a step, microseconds
-    std::int64_t stream_us = 250;        // 250     a stream in a step, microseconds
-    std::int64_t chunk_tokens = 2'000;   // 2000    maximum of prompt tokens in a step
-    std::int64_t batch = 64;             // 64      maximum of streams, mixed role
-    std::int64_t prefill_role_us = 40;   // 40      a prompt token in the prefill role
-    std::int64_t decode_role_batch = 96; // 96      maximum of streams, decode role
-    std::int64_t cache_tokens =
-        200'000;                      // 200000  prompt tokens that the prefix cache holds
-    std::int64_t handoff_us = 10'000; // 10000   a handoff of KV cache, microseconds
-    std::int64_t handoff_token_us =
-        20; // 20      added to it for each token, microseconds
-    std::int64_t role_change_us =
-        4'000'000;                       // 4 s     out of service during a role change
-    std::int64_t restart_us = 5'000'000; // 5 s     to restart after a crash
-    std::int64_t start_us = 20'000'000;  // 20 s    from the order of a VM until it serves
+    std::int64_t prefill_us = 50;            // 50      a prompt token, microseconds
+    std::int64_t step_us = 15'000;           // 15000   a step, microseconds
+    std::int64_t stream_us = 250;            // 250     a stream in a step, microseconds
+    std::int64_t chunk_tokens = 2'000;       // 2000    maximum of prompt tokens in a step
+    std::int64_t batch = 64;                 // 64      maximum of streams, mixed role
+    std::int64_t prefill_role_us = 40;       // 40      a prompt token in the prefill role
+    std::int64_t decode_role_batch = 96;     // 96      maximum of streams, decode role
+    std::int64_t cache_tokens = 200'000;     // 200000  tokens in the prefix cache
+    std::int64_t handoff_us = 10'000;        // 10000   of a handoff, microseconds
+    std::int64_t handoff_token_us = 20;      // 20      added for each token
+    std::int64_t role_change_us = 4'000'000; // 4 s     out of service
+    std::int64_t restart_us = 5'000'000;     // 5 s     to restart after a crash
+    std::int64_t start_us = 20'000'000; // 20 s    from the order of a VM until it serves
 
     bool operator==(engine_costs const&) const = default;
 };
@@ -79,8 +76,7 @@
     std::int64_t begin_step();
 
     /// Ends the step in progress. A call whose prefill is complete joins the batch.
-    /// Changes of
-    /// shared prefixes in the cache are appended to `events`.
+    /// Changes of shared prefixes in the cache are appended to `events`.
     step_result end_step(std::vector<cache_event>& events);
 
     /// Returns all calls at the engine and drops them together with the cache.
@@ -118,8 +114,7 @@
     std::int64_t                chunk_ = 0;
     bool                        stepping_ = false;
     // Prefix cache, least recently used last. Keys >= 0 are shared prefixes, negative
-    // keys
-    // are the unshared parts of prompts.
+    // keys are the unshared parts of prompts.
     std::list<std::pair<std::int64_t, std::int64_t>> lru_;
     std::map<std::int64_t, decltype(lru_)::iterator> cached_;
     std::int64_t                                     cached_tokens_ = 0;
--- a/bench/model/fleet_model.hpp
+++ b/bench/model/fleet_model.hpp
@@ -59,9 +59,8 @@
     void add_paid_time(std::int64_t elapsed_us, replay_result& result) const;
 
     std::vector<fleet_server> servers;
-    std::vector<bool>
-                 data_centre_lost; // by data centre: its cheap servers were reclaimed
-    std::int64_t role_changes = 0;
+    std::vector<bool>         data_centre_lost; // its cheap servers were reclaimed
+    std::int64_t              role_changes = 0;
 
 private:
     void scale_class(std::uint32_t data_centre, bool cheap, std::int64_t wanted,
--- a/bench/model/quota_replay.hpp
+++ b/bench/model/quota_replay.hpp
@@ -19,12 +19,12 @@
 {
     workspace_quota quota{.rate = 36'000, .burst = 36'000, .tokens = true};
     double          usual = 0.55; // 0.55   share of the quota's rate that is requested
-    double          peak = 12;    // 12     factor on `usual` during the peak
-    millis          peak_begin{15'000}; // 15000  ms
-    millis          peak_end{24'000};   // 24000  ms
-    millis          length{40'000};     // 40000  ms
-    std::int64_t    mean_units = 4'000; // 4000   mean units of a call
-    std::int64_t    most_units = 70'000;
+    double          peak = 12;    // 12     factor on it during the peak
+    millis          peak_begin{15'000};  // 15000  ms
+    millis          peak_end{24'000};    // 24000  ms
+    millis          length{40'000};      // 40000  ms
+    std::int64_t    mean_units = 4'000;  // 4000   mean units of a call
+    std::int64_t    most_units = 70'000; // 70000  maximum units of a call
 
     bool operator==(quota_load const&) const = default;
 };
@@ -32,7 +32,7 @@
 /// Size of the fleet and the faults that are injected.
 struct quota_trouble
 {
-    int    vms = 90;      // 90
+    int    vms = 90;      // 90   VMs
     millis round_trip{4}; // 4    ms; round trip between two VMs
     double lost_asks = 0; // 0    share of queries that get no reply
     millis home_lost{0};  // 0    ms; time at which the owner loses power; 0: never
--- a/bench/model/replay.hpp
+++ b/bench/model/replay.hpp
@@ -102,8 +102,7 @@
     std::vector<replay_bucket>    buckets;
 
     /// Cost of the paid server time: 100 per ms of a full-price server and `cheap_price`
-    /// per
-    /// ms of a cheap one.
+    /// per ms of a cheap one.
     std::int64_t price(std::int64_t cheap_price) const noexcept;
 
     bool operator==(replay_result const&) const = default;
--- a/bench/model/replay_run.hpp
+++ b/bench/model/replay_run.hpp
@@ -96,18 +96,17 @@
     void           hash_decision(std::uint64_t value);
     entry_model&   entry_of(call_state const& call);
 
-    trace const&             trace_;
-    replay_options const&    options_;
-    fleet_model              fleet_;
-    std::vector<entry_model> entries_;
-    std::vector<call_state>  calls_;
-    role_planner             roles_;
-    spending_planner         spending_;
-    std::map<std::int64_t, std::int64_t>
-                               crash_counts_; // by content, shared by all entry VMs
-    std::vector<std::uint32_t> awaiting_decode_;
-    std::vector<std::uint32_t> waiting_suspects_;
-    std::vector<cache_event>   cache_events_;
+    trace const&                         trace_;
+    replay_options const&                options_;
+    fleet_model                          fleet_;
+    std::vector<entry_model>             entries_;
+    std::vector<call_state>              calls_;
+    role_planner                         roles_;
+    spending_planner                     spending_;
+    std::map<std::int64_t, std::int64_t> crash_counts_; // by content, at all VMs
+    std::vector<std::uint32_t>           awaiting_decode_;
+    std::vector<std::uint32_t>           waiting_suspects_;
+    std::vector<cache_event>             cache_events_;
     std::priority_queue<replay_event, std::vector<replay_event>, std::greater<>> events_;
     std::uint64_t order_ = 0;
     std::uint64_t cache_event_loss_ = 0;
--- a/bench/model/replay_table.hpp
+++ b/bench/model/replay_table.hpp
@@ -38,10 +38,9 @@
 /// Ratios that are compared with the goals of one trace, in thousandths.
 struct goal_ratios
 {
-    std::int64_t good = 0;  // goodput over the best baseline's
-    std::int64_t shift = 0; // the same within the shift; 0 without one
-    std::int64_t simple =
-        0; // goodput in the shift (or in all) over the better simple baseline's
+    std::int64_t good = 0;    // goodput over the best baseline's
+    std::int64_t shift = 0;   // the same within the shift; 0 without one
+    std::int64_t simple = 0;  // in the shift, or in all: over the better simple one
     std::int64_t worst = 0;   // worst_served_milli of the decision core
     std::int64_t spent = 0;   // spending over the oracle's; 0 if it found none
     std::int64_t changes = 0; // role changes
--- a/bench/model/trace.hpp
+++ b/bench/model/trace.hpp
@@ -19,8 +19,8 @@
 {
     std::int64_t  at_us = 0;
     std::uint32_t workspace = 0;
-    std::int64_t  prompt = 0;
-    std::int64_t  output = 0;
+    std::int64_t  prompt = 0;  // tokens
+    std::int64_t  output = 0;  // tokens
     std::int32_t  prefix = -1; // index of the shared prefix; -1: none
     bool          poison = false;
     bool          once = false; // call of a plain service that must not be repeated
