--- a/bench/model/engine_model.hpp
+++ b/bench/model/engine_model.hpp
@@ -32,11 +32,11 @@
     std::int64_t prefill_role_us = 40;       // 40      a prompt token in the prefill role
     std::int64_t decode_role_batch = 96;     // 96      maximum of streams, decode role
     std::int64_t cache_tokens = 200'000;     // 200000  tokens in the prefix cache
-    std::int64_t handoff_us = 10'000;        // 10000   of a handoff, microseconds
-    std::int64_t handoff_token_us = 20;      // 20      added for each token
-    std::int64_t role_change_us = 4'000'000; // 4 s     out of service
+    std::int64_t handoff_us = 10'000;        // 10000   a handoff of KV cache, us
+    std::int64_t handoff_token_us = 20;      // 20      added for each token, us
+    std::int64_t role_change_us = 4'000'000; // 4 s     to change the role
     std::int64_t restart_us = 5'000'000;     // 5 s     to restart after a crash
-    std::int64_t start_us = 20'000'000; // 20 s    from the order of a VM until it serves
+    std::int64_t start_us = 20'000'000;      // 20 s    from order to service
 
     bool operator==(engine_costs const&) const = default;
 };
--- a/bench/model/entry_model.hpp
+++ b/bench/model/entry_model.hpp
@@ -48,7 +48,8 @@
     bool          done = false;
     std::vector<std::uint32_t> excluded;
 
-    /// Identifies the content. All poison requests share one content.
+    /// Identifies the content. All poison requests share one content, so that one that is
+    /// sent again is recognized.
     std::int64_t content() const noexcept
     {
         return request.poison ? -1 : std::int64_t{id};
--- a/bench/model/replay.hpp
+++ b/bench/model/replay.hpp
@@ -38,7 +38,7 @@
     std::int64_t      event_lag_us = 300'000;  // 300 ms age of a cache event
     std::int64_t      network_us = 1'000;      // 1 ms   caller to entry VM and back
     bool              notices = true;  // entry VMs publish their dispatches to each other
-    bool              spending = true; // false: all servers stay on
+    bool              spending = true; // false: all servers stay on, to separate effects
     engine_costs      costs;
     engine_speed      speed;
     route_options     route;
--- a/bench/model/replay_run.cpp
+++ b/bench/model/replay_run.cpp
@@ -10,8 +10,7 @@
 {
 constexpr std::int64_t service_call_us = 80'000; // duration of a call of a plain service
 constexpr std::int64_t allowed_gap_divisor = 20; // at most 5 of 100 gaps may be slow
-constexpr std::int64_t drain_limit_us =
-    30'000'000; // time for calls to end after the trace
+constexpr std::int64_t drain_limit_us = 30'000'000; // after the end of the trace
 constexpr std::int64_t tick_us = 10'000;
 constexpr std::int64_t control_us = 500'000;
 constexpr std::int64_t bucket_us = 5'000'000;
