--- a/bench/model/replay_run.cpp
+++ b/bench/model/replay_run.cpp
@@ -243,15 +243,15 @@
         dispatch(call, decision, 0);
         return;
     }
-    auto const judged = entry.evaluate_admission(call, decision, now_us_);
-    hash_decision(static_cast<std::uint64_t>(judged.verdict) +
-                  static_cast<std::uint64_t>(judged.input.predicted_us));
-    switch (judged.verdict)
+    auto const admission = entry.evaluate_admission(call, decision, now_us_);
+    hash_decision(static_cast<std::uint64_t>(admission.verdict) +
+                  static_cast<std::uint64_t>(admission.input.predicted_us));
+    switch (admission.verdict)
     {
     case admission_verdict::dispatch:
         entry.queue.remove(call.id);
         call.queued = false;
-        dispatch(call, decision, judged.input.within_share ? 0 : 1);
+        dispatch(call, decision, admission.input.within_share ? 0 : 1);
         break;
     case admission_verdict::hold:
         if (!call.queued)
@@ -264,8 +264,8 @@
     case admission_verdict::refuse:
         entry.queue.remove(call.id);
         call.queued = false;
-        refuse(call, judged.input.servable
-                         ? judged.input.within_share ? "overloaded" : "above_share"
+        refuse(call, admission.input.servable
+                         ? admission.input.within_share ? "overloaded" : "above_share"
                          : "no_backend_server");
         break;
     }
--- a/bench/model/replay_table.cpp
+++ b/bench/model/replay_table.cpp
@@ -77,9 +77,9 @@
         chosen.policy = policy;
         runs.push_back({name_of(policy), run_replay(input, chosen)});
     }
-    auto kept = options;
-    kept.spending = false;
-    runs.push_back({"ours_all_servers", run_replay(input, kept)});
+    auto all_servers = options;
+    all_servers.spending = false;
+    runs.push_back({"ours_all_servers", run_replay(input, all_servers)});
     auto oracle = run_oracle(input, options, runs.back().result.good);
     if (!oracle.name.empty())
     {
@@ -109,8 +109,8 @@
                  ? own.flood_tokens
                  : std::min(own.flood_tokens, level * demands[index].weight);
         auto const wanted = flood ? share : own.offered;
-        auto const got = flood ? own.flood_good_tokens : own.good;
-        worst = std::min(worst, got * milli / std::max<std::int64_t>(1, wanted));
+        auto const served = flood ? own.flood_good_tokens : own.good;
+        worst = std::min(worst, served * milli / std::max<std::int64_t>(1, wanted));
     }
     return worst;
 }
@@ -138,16 +138,16 @@
 goal_ratios ratios_of(trace const& input, std::vector<policy_run> const& runs)
 {
     auto const& own = runs[full_run].result;
-    auto const& turns = runs[round_robin_run].result;
-    auto const& least = runs[least_load_run].result;
-    auto const& fixed_roles = runs[no_changes_run].result;
-    auto const  simple_shift = std::max(turns.shift_good, least.shift_good);
-    auto const  simple_good = std::max(turns.good, least.good);
+    auto const& round_robin = runs[round_robin_run].result;
+    auto const& least_load = runs[least_load_run].result;
+    auto const& no_changes = runs[no_changes_run].result;
+    auto const  simple_shift = std::max(round_robin.shift_good, least_load.shift_good);
+    auto const  simple_good = std::max(round_robin.good, least_load.good);
     goal_ratios ratios;
-    ratios.good = ratio_milli(own.good, std::max(simple_good, fixed_roles.good));
+    ratios.good = ratio_milli(own.good, std::max(simple_good, no_changes.good));
     bool const shifts = input.shift.to_us > 0;
     ratios.shift = shifts ? ratio_milli(own.shift_good,
-                                        std::max(simple_shift, fixed_roles.shift_good))
+                                        std::max(simple_shift, no_changes.shift_good))
                           : 0;
     ratios.simple = shifts ? ratio_milli(own.shift_good, simple_shift)
                            : ratio_milli(own.good, simple_good);
