--- a/bench/model/entry_model.hpp
+++ b/bench/model/entry_model.hpp
@@ -62,6 +62,8 @@
     }
 };
 
+/// One entry VM. It chooses engines and admits calls from what it knows: its own work,
+/// the load reports, the notices of other entry VMs and the cache events.
 class entry_model
 {
 public:
@@ -75,22 +77,34 @@
                                           engine_decision const& decision,
                                           std::int64_t           now_us);
 
+    /// Adds a dispatched call to the own work at its engine and charges its workspace.
     void record_dispatch(call_state& call, engine_decision const& decision,
                          std::int64_t now_us);
+
+    /// Takes the prompt of a call off the own work; its stream goes on.
     void record_prefill_done(call_state& call);
+
+    /// Takes a call that ended, failed or was handed off out of the own work.
     void record_departure(call_state& call, std::uint32_t engine);
+
+    /// Compares the time to a token with the expected one, to detect slow engines.
     void observe(std::uint32_t engine, std::int64_t elapsed_us, std::int64_t expected_us,
                  std::int64_t now_us);
 
     /// Samples this entry VM's work at the engine at the time the engine makes a report.
     void report_made(std::uint32_t engine, std::int64_t now_us);
+
+    /// Applies a load report that was made `age_us` ago.
     void report_read(std::uint32_t engine, engine_work const& reported,
                      std::int64_t age_us, std::int64_t now_us);
+
+    /// Updates shares and slowdowns and decays the counts of requests and retries.
     void refresh(std::int64_t now_us);
 
     /// Ranks the engines again after one opened, closed or changed its use.
     void rank();
 
+    /// False for the baselines round_robin and least_load.
     bool uses_decision_core() const noexcept;
 
     std::vector<engine_view> views;
--- a/bench/model/fleet_model.hpp
+++ b/bench/model/fleet_model.hpp
@@ -28,6 +28,7 @@
     gone        // reclaimed
 };
 
+/// A VM that runs one engine.
 struct fleet_server
 {
     engine_model  engine;
@@ -38,6 +39,8 @@
     std::uint64_t generation = 0; // of the step in progress
 };
 
+/// States of all VMs. Orders of roles and VMs change them with the delays of
+/// engine_costs.
 class fleet_model
 {
 public:
--- a/bench/model/quota_replay.cpp
+++ b/bench/model/quota_replay.cpp
@@ -145,12 +145,11 @@
 class simulated_owners
 {
 public:
-    simulated_owners(quota_load const& load, quota_trouble const& trouble,
+    simulated_owners(quota_load const& load, quota_trouble const& faults,
                      std::uint64_t seed)
-        : load_(load), trouble_(trouble), random_(seed),
+        : load_(load), faults_(faults), random_(seed),
           owners_(owner_count, quota_owner{replayed_terms}), share_(owner_count),
-          silent_(static_cast<std::size_t>(trouble.vms)),
-          owner_partitioned_(seed % 2 == 0)
+          silent_(static_cast<std::size_t>(faults.vms)), owner_partitioned_(seed % 2 == 0)
     {
         update_shares(millis{0});
     }
@@ -199,17 +198,16 @@
 
     bool partitioned(int left, int right, millis at) const
     {
-        return within(at, trouble_.cut_begin, trouble_.cut_end) &&
+        return within(at, faults_.cut_begin, faults_.cut_end) &&
                in_partition(left) != in_partition(right);
     }
 
     bool is_running(int owner, millis at) const
     {
-        bool const powered_off =
-            trouble_.restart.count() > 0 &&
-            within(at, trouble_.restart, trouble_.restart + power_off);
+        bool const powered_off = faults_.restart.count() > 0 &&
+                                 within(at, faults_.restart, faults_.restart + power_off);
         bool const lost =
-            owner == 0 && trouble_.home_lost.count() > 0 && at >= trouble_.home_lost;
+            owner == 0 && faults_.home_lost.count() > 0 && at >= faults_.home_lost;
         return !powered_off && !lost;
     }
 
@@ -242,15 +240,14 @@
     {
         bool const own = call.vm == owner;
         messages += own ? 0 : 1;
-        bool const lost =
-            !own && std::bernoulli_distribution(trouble_.lost_asks)(random_);
+        bool const lost = !own && std::bernoulli_distribution(faults_.lost_asks)(random_);
         if (lost || !is_running(owner, call.at) || partitioned(call.vm, owner, call.at))
         {
             wait_ms += static_cast<double>(query_timeout.count());
             return std::nullopt;
         }
         messages += own ? 0 : 1;
-        wait_ms += own ? 0 : static_cast<double>(trouble_.round_trip.count());
+        wait_ms += own ? 0 : static_cast<double>(faults_.round_trip.count());
         return owners_[slot(owner)].answer({"w", call.units, left}, load_.quota,
                                            view(owner, call.at), time_of(call.at));
     }
@@ -282,11 +279,11 @@
         for (int owner = 0; owner < owner_count; ++owner)
         {
             std::int64_t heard = 0;
-            for (int vm = 0; vm < trouble_.vms; ++vm)
+            for (int vm = 0; vm < faults_.vms; ++vm)
             {
                 heard += hears_from(owner, vm, at - digest_lifetime) ? 1 : 0;
             }
-            share_[slot(owner)].note(heard, trouble_.vms, time_of(at));
+            share_[slot(owner)].note(heard, faults_.vms, time_of(at));
         }
     }
 
@@ -294,7 +291,7 @@
     bool admit_isolated(simulated_call const& call)
     {
         auto const bounds =
-            isolated_bounds(load_.quota, replayed_terms, 1.0 / trouble_.vms);
+            isolated_bounds(load_.quota, replayed_terms, 1.0 / faults_.vms);
         auto const now = time_of(call.at);
         auto const own = isolated_buckets_.try_emplace(call.vm, bounds, now).first;
         return !own->second.take(call.units, now);
@@ -302,8 +299,8 @@
 
     void restart_if_due(millis at)
     {
-        if (trouble_.restart.count() > 0 && !restarted_ &&
-            at >= trouble_.restart + power_off)
+        if (faults_.restart.count() > 0 && !restarted_ &&
+            at >= faults_.restart + power_off)
         {
             restarted_ = true;
             owners_.assign(owner_count, quota_owner{replayed_terms});
@@ -311,7 +308,7 @@
     }
 
     quota_load                         load_;
-    quota_trouble                      trouble_;
+    quota_trouble                      faults_;
     std::mt19937_64                    random_;
     std::vector<quota_owner>           owners_;
     std::vector<fleet_share>           share_;
@@ -324,16 +321,16 @@
 
 } // namespace
 
-quota_figures play_homes(quota_load const& load, quota_trouble const& trouble,
+quota_figures play_homes(quota_load const& load, quota_trouble const& faults,
                          std::uint64_t seed)
 {
-    simulated_owners fleet(load, trouble, seed);
+    simulated_owners fleet(load, faults, seed);
     quota_audit      audit(load);
-    for (auto const& call : draw_calls(load, trouble.vms, seed))
+    for (auto const& call : draw_calls(load, faults.vms, seed))
     {
         bool const powered_off =
-            trouble.restart.count() > 0 &&
-            within(call.at, trouble.restart, trouble.restart + power_off);
+            faults.restart.count() > 0 &&
+            within(call.at, faults.restart, faults.restart + power_off);
         double     wait_ms = 0;
         bool const ran = !powered_off && fleet.admit(call, wait_ms);
         audit.add(call, ran, wait_ms);
--- a/bench/model/quota_replay.hpp
+++ b/bench/model/quota_replay.hpp
@@ -58,7 +58,7 @@
 inline constexpr quota_terms replayed_terms{millis{8000}, 100, 140'000};
 
 /// Simulates VMs that query the workspace's owner before each call runs.
-quota_figures play_homes(quota_load const& load, quota_trouble const& trouble,
+quota_figures play_homes(quota_load const& load, quota_trouble const& faults,
                          std::uint64_t seed);
 
 } // namespace marigoldcrank
--- a/bench/model/replay_run.hpp
+++ b/bench/model/replay_run.hpp
@@ -45,6 +45,7 @@
     }
 };
 
+/// Simulates entry VMs and engines by discrete events until 30 s after the trace ends.
 class replay_run
 {
 public:
--- a/bench/model/trace.hpp
+++ b/bench/model/trace.hpp
@@ -58,8 +58,8 @@
 {
     std::int64_t at_us = 0;
     fault_kind   kind{};
-    std::int64_t first = 0;
-    std::int64_t second = 0;
+    std::int64_t first = 0;  // data centre, lag in ms, n of cache_event_loss, or engine
+    std::int64_t second = 0; // factor of `slow`
 
     bool operator==(trace_fault const&) const = default;
 };
@@ -87,8 +87,8 @@
     std::vector<trace_server>    services;
     std::vector<std::int64_t>    prefix_tokens;
     std::vector<trace_fault>     faults;
-    trace_span                   shift;
-    trace_span                   flood;
+    trace_span                   shift; // its goodput is reported apart
+    trace_span                   flood; // its workspaces are compared by tokens
     std::uint32_t                flood_workspace = 0;
     std::vector<trace_request>   requests;
 
