--- a/tests/failure/at_most_once_test.cpp
+++ b/tests/failure/at_most_once_test.cpp
@@ -1,5 +1,6 @@
-// A call that may not be repeated runs at most once, and `not_run` is true, wherever the
-// call is cut. The truth is what the service's stand-in received.
+// A call that may not be repeated runs at most once, and a fate of `not_run` is true,
+// wherever the call is interrupted. The calls that the stand-in of the service received
+// are compared.
 #include "support/caller.hpp"
 #include "support/node_process.hpp"
 
@@ -14,10 +15,10 @@
 
 using nlohmann::json;
 
-/// What the caller saw of one try.
+/// What the caller received for one attempt.
 struct try_outcome
 {
-    int         status = 0; // 0: the connection broke
+    int         status = 0; // 0: the connection closed early
     std::string fate;
     std::string type;
     std::string request_id;
@@ -59,7 +60,7 @@
     return system.received(system.service_port(0), "call");
 }
 
-/// True once the platform was asked to append a record of this kind by node 0.
+/// True once node 0 has asked the platform to append a record of this kind.
 bool appended(fleet const& system, std::string const& field)
 {
     for (auto const& entry : system.received(system.platform_port(), "append"))
@@ -92,7 +93,7 @@
     system.fault(system.service_port(0), {{"kind", "none"}});
 }
 
-/// Sends the order through node 0 and kills it when `reached` holds.
+/// Sends the order through node 0 and kills the node as soon as `reached` holds.
 try_outcome order_and_kill(fleet& system, std::function<bool()> const& reached)
 {
     try_outcome seen;
@@ -100,15 +101,15 @@
     EXPECT_TRUE(eventually(reached));
     system.node(0).signal(SIGKILL);
     caller.join();
-    EXPECT_EQ(seen.status, 0) << "answered before the cut";
+    EXPECT_EQ(seen.status, 0) << "a response arrived before the node was killed";
     return seen;
 }
 
-/// One place where a call may be cut, and how its story ends.
+/// One point at which a call is interrupted, and the expected final outcome.
 struct cut_point
 {
     char const* name;
-    bool        answered; // the last try gets an answer; else the outcome stays unknown
+    bool        answered; // the last attempt gets a response; else the outcome is unknown
     std::vector<try_outcome> (*bring_about)(fleet&);
 };
 
@@ -120,7 +121,7 @@
 
 std::vector<try_outcome> killed_after_intent(fleet& system)
 {
-    // The append takes effect a moment after the entry VM was killed.
+    // The append takes effect shortly after the entry VM was killed.
     fault_log(system, "late", 600);
     auto seen = order_and_kill(system, [&] { return appended(system, "intents"); });
     std::this_thread::sleep_for(std::chrono::milliseconds(700));
@@ -141,7 +142,7 @@
                            {
                                if (!runs(system).empty())
                                {
-                                   // The result takes effect; the entry VM can't know.
+                                   // The append takes effect, but its response is lost.
                                    fault_log(system, "drop_answer");
                                }
                                return appended(system, "results");
@@ -259,10 +260,9 @@
     {"three_entries_at_once", true, three_entries_at_once},
 };
 
-/// Story: a school's print order hangs; its office sends it again, through whatever entry
-/// VM the balancer picks, until it gets an answer that is final. The school must not pay
-/// twice, and where it was told `not_run`, nothing may have run. Causes: one for each cut
-/// point.
+/// A caller repeats an order that is not idempotent, through any entry VM, until it
+/// receives a final response. The order must not run twice, and after `not_run` it must
+/// not have run at all. Each cut point interrupts the call at another step.
 class at_most_once : public testing::TestWithParam<cut_point>
 {
 };
@@ -297,8 +297,8 @@
 INSTANTIATE_TEST_SUITE_P(cuts, at_most_once, testing::ValuesIn(cut_points),
                          [](auto const& cut) { return std::string{cut.param.name}; });
 
-/// Story: an office's program uses one key for two different orders; the second would be
-/// answered with the first one's print run.
+/// A caller uses one idempotency key for two different orders. The second must not be
+/// answered with the result of the first.
 TEST(idempotency_key, another_body_under_the_same_key_is_refused)
 {
     fleet system;
@@ -310,7 +310,7 @@
     EXPECT_EQ(runs(system).size(), 1U);
 }
 
-/// Story: a key of one workspace meets the same key of another one.
+/// Two workspaces use the same idempotency key for different calls.
 TEST(idempotency_key, belongs_to_its_workspace)
 {
     fleet system;
@@ -325,8 +325,8 @@
     EXPECT_EQ(runs(system).size(), 2U);
 }
 
-/// Story: a service's answer is larger than what is kept; the second try must not run the
-/// call again, and must not pass half an answer for the whole.
+/// The response of a service is larger than what is stored. The second attempt must
+/// neither run the call again nor return a part of the response as the whole.
 TEST(idempotency_key, keeps_only_the_status_of_a_large_answer)
 {
     fleet      system({.node_settings = {{"kept_body_bytes", "8"}}});
@@ -339,8 +339,9 @@
     EXPECT_EQ(runs(system).size(), 1U);
 }
 
-/// Story: without a key nothing can tell a repeat; the service loses its answer and the
-/// call runs again by itself. Cause: the HTTP library or the path sends it twice.
+/// Without an idempotency key a repeat cannot be recognised. When the response of the
+/// service is lost, neither the HTTP library nor the relay may send the call a second
+/// time.
 TEST(no_idempotency_key, is_sent_once_and_its_fate_told)
 {
     fleet system({.services = 2});
@@ -355,9 +356,9 @@
               1U);
 }
 
-/// Story: a repeatable call runs on one server, whose answer is lost, and is tried on a
-/// second one that is down. The caller is told `not_run`. Cause: the last attempt
-/// decides.
+/// A repeatable call runs on one server, whose response is lost, and is attempted on a
+/// second server that is down. The fate must not be `not_run`, which it would be if only
+/// the last attempt decided it.
 TEST(repeatable_call, an_earlier_attempt_makes_not_run_untrue)
 {
     fleet system({.services = 2});
--- a/tests/failure/configuration_test.cpp
+++ b/tests/failure/configuration_test.cpp
@@ -1,4 +1,5 @@
-// Configuration under faults: in force everywhere within seconds, and never back.
+// Configuration under faults: a change is in force on all nodes within seconds and is
+// never reverted.
 //
 // Index: 1 helpers, 2 spread, 3 races and lost answers, 4 never back, 5 retention
 #include "domain/boot_clock.hpp"
@@ -79,15 +80,16 @@
 
 // 2. Spread
 
-/// Story: an operator is told accepted, and one data centre goes on under the old rules.
-/// Order: three of nine nodes are cut off from the platform, then the rules change.
-/// Cause: a configuration that travels through the log alone.
+/// A change is accepted while one data centre stays on the old rules. Three of nine nodes
+/// cannot reach the platform when the rules change. This fails if a configuration spreads
+/// through the log only.
 TEST(configuration, reaches_nine_nodes_with_a_data_centre_cut_off)
 {
     fleet system({.nodes = 9});
     system.fault(system.platform_port(),
                  {{"kind", "outage"}, {"from", "node-0 node-3 node-6"}});
-    // The first change may still come with a read that was waiting when the cut came.
+    // The first change may still arrive with a read that was waiting when the partition
+    // began.
     for (auto const* id : {"second", "third"})
     {
         auto const answer =
@@ -98,9 +100,9 @@
     EXPECT_EQ(status_of_call(system, 0), 200);
 }
 
-/// Story: a VM is replaced during an outage of the platform and refuses every caller.
-/// Order: the platform is gone, a node is killed and a new one starts in its place.
-/// Cause: a node that knows configurations from the log only.
+/// A VM that is replaced during an outage of the platform must not refuse every caller.
+/// The platform is stopped, a node is killed and a new one starts in its place. This
+/// fails if a node learns configurations from the log only.
 TEST(configuration, a_node_started_without_platform_takes_it_from_a_peer)
 {
     fleet      system;
@@ -110,14 +112,15 @@
     system.node(2).wait(5000);
     system.start_node(2);
     EXPECT_TRUE(in_force(system, {2}, revision));
-    EXPECT_EQ(next_offset_of(system, 2), 1U); // nothing of it came from the log
+    EXPECT_EQ(next_offset_of(system, 2), 1U); // nothing was read from the log
 }
 
 // 3. Races and lost answers
 
-/// Story: two operators are both told that their rules are in force. Order: both read the
-/// same revision and apply, while appends take effect late and answers are lost; each
-/// asks again under the same change id. Cause: an append's answer taken for a verdict.
+/// Two operators must not both be told that their rules are in force. Both read the same
+/// revision and apply a change, while appends take effect late and responses are lost;
+/// each asks again with the same change id. This fails if the response to an append is
+/// taken for the verdict.
 TEST(configuration, of_two_racing_operators_exactly_one_is_told_accepted)
 {
     fleet system;
@@ -155,7 +158,7 @@
         EXPECT_EQ(std::count(outcomes.begin(), outcomes.end(), "conflict"), 1);
         ASSERT_TRUE(eventually([&] { return revision_of(system, 0) > base; }));
     }
-    // Every revision's base is the revision before it.
+    // The base of every revision is the revision before it.
     std::uint64_t revision = 0;
     auto const    history = system.admin(2, "/admin/history");
     for (auto const& change : history["changes"])
@@ -169,8 +172,8 @@
     EXPECT_EQ(history["revision"], revision);
 }
 
-/// Story: an operator does not know whose rules are in force. Order: one change is
-/// accepted, one loses the race; the tool is asked through another node.
+/// The history shows whose rules are in force. One change is accepted and one loses the
+/// race; the operators' tool asks another node.
 TEST(configuration, history_names_every_change_and_its_author)
 {
     fleet      system;
@@ -211,9 +214,9 @@
 
 // 4. Never back
 
-/// Story: rules that were replaced are in force again. Order: a node is paused, the rules
-/// change, the node wakes up and tells its old ones; nodes restart; the old change takes
-/// effect a second time. Cause: whoever speaks last is believed.
+/// Replaced rules must not come into force again. A node is paused, the rules change, and
+/// the node resumes and sends its old rules to its peers; nodes restart; the old change
+/// takes effect a second time. This fails if the last received rules win.
 TEST(configuration, never_reverts_by_old_peer_restart_or_late_append)
 {
     fleet system;
@@ -250,9 +253,9 @@
     EXPECT_EQ(reverted, 0);
 }
 
-/// Story: all nodes stop taking changes, or differ. Order: something else writes into the
-/// log: bytes that are no record, and records of a later version. Cause: a reader that
-/// stops, or skips one record more than the others.
+/// Foreign data in the log must neither stop the nodes from taking changes nor make them
+/// differ: bytes that are no record, and records of a later version. This fails if a
+/// reader stops, or skips one record more than the others.
 TEST(configuration, a_malformed_record_disturbs_nothing)
 {
     fleet system;
@@ -278,7 +281,7 @@
     return options;
 }
 
-/// Output tokens in the figures that the platform received.
+/// Output tokens in the usage figures that the platform received.
 std::uint64_t reported_tokens(fleet const& system)
 {
     std::map<std::string, std::string> windows;
@@ -296,10 +299,11 @@
     return sum;
 }
 
-/// Story: after the log has let its old records go, new VMs know no rules, take duties
-/// that others hold, and bill again what was billed. Order: the change of the rules and
-/// the first claims expire; all nodes are replaced one by one; one is paused until its
-/// next record is gone. Cause: a reader that folds on over the hole.
+/// After the log has expired old records, new VMs must still know the rules, must not
+/// claim duties that others hold, and must not report usage again. The change of the
+/// rules and the first claims expire; all nodes are replaced one by one; one is paused
+/// until its next record has expired. This fails if a reader continues to fold after the
+/// gap.
 TEST(configuration, outlives_the_retention_of_the_log)
 {
     fleet      system(short_retention());
@@ -324,7 +328,7 @@
     EXPECT_TRUE(eventually([&] { return next_offset_of(system, 0) >= log_end; }));
     EXPECT_EQ(status_of_call(system, 0), 200);
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == 4; }));
-    // All three hold the same history, and take the next change.
+    // All three nodes hold the same history and take the next change.
     for (int node = 0; node < 3; ++node)
     {
         EXPECT_EQ(system.admin(node, "/admin/history")["changes"].size(), 1U);
@@ -334,8 +338,9 @@
     EXPECT_TRUE(in_force(system, {0, 1, 2}, answer["revision"]));
 }
 
-/// Story: as above, but every record is gone before any snapshot was written. Order: the
-/// whole log expires; a new node starts. Cause: a ledger that begins in the middle.
+/// As above, but every record expires before the first snapshot is written. The whole log
+/// expires and a new node starts. This fails if a ledger that begins in the middle is
+/// taken for complete.
 TEST(configuration, without_a_snapshot_a_new_node_serves_but_claims_nothing)
 {
     fleet_options options;
@@ -348,9 +353,9 @@
     system.node(2).wait(5000);
     expire_all(system);
     system.start_node(2);
-    EXPECT_TRUE(in_force(system, {2}, revision)); // from a peer
+    EXPECT_TRUE(in_force(system, {2}, revision)); // received from a peer
     EXPECT_EQ(status_of_call(system, 2), 200);
-    // The keeper notices that its last snapshot is gone and appends one at once.
+    // The keeper notices that its last snapshot has expired and appends one at once.
     EXPECT_TRUE(eventually([&] { return next_offset_of(system, 2) > 1; }));
     EXPECT_EQ(system.admin(2, "/admin/history")["changes"],
               system.admin(0, "/admin/history")["changes"]);
--- a/tests/failure/cuts_test.cpp
+++ b/tests/failure/cuts_test.cpp
@@ -1,4 +1,4 @@
-// Data centres cut off, platform outages, paused and killed processes.
+// Network partitions of data centres, platform outages, and paused and killed processes.
 #include "support/model_caller.hpp"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-/// Cuts node 0 and engine 0, alone in dc-1, off from the other data centres and from the
-/// platform, or mends the cut.
+/// Starts or ends a network partition that separates node 0 and engine 0, which are alone
+/// in dc-1, from the other data centres and from the platform.
 void cut_first_data_centre(fleet& system, bool on)
 {
     std::set<std::string> const none;
@@ -41,9 +41,9 @@
     return tokens;
 }
 
-// A digger cuts a data centre's lines for a while. Its callers are served by its own
-// engine, the others by theirs, and when the lines are back no work and no bill stands
-// twice.
+// A data centre is partitioned from the others for a while. Its callers are served by its
+// own engine and the others by theirs. After the partition no call has run twice and no
+// usage is reported twice.
 TEST(cuts, a_data_centre_cut_off_serves_and_doubles_nothing)
 {
     fleet_options options;
@@ -69,14 +69,15 @@
     ASSERT_TRUE(eventually([&] { return !alone(); }));
     auto tokens = whole_tokens(load.stop(), question);
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
-    // One more, so that a doubled batch that came later would show in a later window.
+    // One more call, so that a duplicate batch that arrives later would show in a later
+    // window.
     EXPECT_TRUE(call_model(system, 0, question).whole(question));
     tokens += 40;
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
 }
 
-// The platform is down for long, and callers are refused because an entry VM took the
-// list that it could not read for an empty one.
+// During a long outage of the platform callers must not be refused, as they would be if
+// an entry VM took a list that it cannot read for an empty one.
 TEST(cuts, an_old_list_is_kept_while_the_platform_is_out)
 {
     fleet system;
@@ -90,9 +91,9 @@
     }
 }
 
-// An entry VM is paused by its hypervisor in mid-stream and goes on later: the others
-// serve on unharmed, its own callers get the rest of their replies, and nothing is billed
-// twice.
+// The hypervisor pauses an entry VM in mid-stream and resumes it later. The other VMs go
+// on serving, its own callers receive the rest of their responses, and no usage is
+// reported twice.
 TEST(cuts, a_paused_entry_vm_harms_no_other_and_goes_on)
 {
     fleet                system;
@@ -111,8 +112,8 @@
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
 }
 
-// An engine is paused in mid-stream: the replies stop. They go on at another engine, and
-// what the paused one sends when it wakes up reaches nobody.
+// An engine is paused in mid-stream. Its streams resume at another engine, and what the
+// paused engine sends after it wakes up reaches no caller.
 TEST(cuts, a_paused_engine_costs_a_pause_and_no_token)
 {
     fleet                system;
@@ -129,8 +130,8 @@
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
 }
 
-// An entry VM dies with the platform's lease and dozens of streams on it. Callers of the
-// others see nothing of it.
+// An entry VM is killed while it holds the platform's lease and dozens of streams.
+// Callers of the other VMs are not affected.
 TEST(cuts, a_killed_entry_vm_harms_no_other)
 {
     fleet                system;
--- a/tests/failure/drains_test.cpp
+++ b/tests/failure/drains_test.cpp
@@ -1,4 +1,5 @@
-// Planned changes: drains of nodes, engines and data centres, and VMs that leave.
+// Planned changes: drains of nodes, engines and data centres, and VMs that leave the
+// fleet.
 #include "support/model_caller.hpp"
 
 #include <httplib.h>
@@ -51,9 +52,10 @@
         });
 }
 
-// An operator stops an entry VM in the morning rush. The balancer goes on sending for a
-// while; lines in progress take longer than the stop. A caller must see neither: no reply
-// cut, no refusal while the balancer cannot know, and the bill complete.
+// An operator stops an entry VM under load. The balancer goes on sending calls for a
+// while, and calls in progress take longer than the notice. No response may be
+// interrupted, no call may be refused before the balancer can know of the drain, and the
+// reported usage must be complete.
 TEST(drains, of_a_node_cuts_nothing_and_tells_the_balancer_first)
 {
     fleet_options options;
@@ -62,7 +64,7 @@
     model_question const question{.tokens = 200};
     caller_group         load(system, {0}, 12, question);
     ASSERT_TRUE(eventually([&] { return load.answered() >= 12; }));
-    // Outlasts the notice, so that the node refuses for a while before it goes.
+    // Outlasts the notice, so that the node refuses calls for a while before it stops.
     model_question const longest{.tokens = 3000};
     std::thread          long_call(
         [&] { EXPECT_TRUE(call_model(system, 0, longest).whole(longest)); });
@@ -94,9 +96,9 @@
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) >= tokens; }));
 }
 
-// An operator drains an engine on one node for a repair, and another node goes on sending
-// to it: its streams are cut when the machine is taken. So a drain is a record of the
-// log.
+// An operator drains an engine through one node. Another node that goes on sending calls
+// to it would have its streams interrupted when the VM is removed, so a drain is a record
+// of the log that all nodes read.
 TEST(drains, of_an_engine_holds_on_all_nodes_and_cuts_nothing)
 {
     fleet                system;
@@ -119,7 +121,8 @@
     }
 }
 
-// The operators' tool says the same by its exit code, and a wrong word changes nothing.
+// The operators' tool reports the result by its exit code, and an unknown server name
+// changes nothing.
 TEST(drains, by_the_operators_tool)
 {
     fleet      system;
@@ -140,8 +143,8 @@
     EXPECT_TRUE(system.node(0).running());
 }
 
-// An entry VM is stopped while the platform is out, and its last tokens are in no bill.
-// It waits for the log as long as it may, and says so if that was too short.
+// An entry VM is stopped during an outage of the platform. It waits for the log as long
+// as its settings allow, and reports usage that it could not append.
 TEST(drains, wait_for_the_log_and_tell_when_usage_is_left)
 {
     fleet_options options;
@@ -159,9 +162,9 @@
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == 8; }));
 }
 
-// A data centre is emptied for maintenance, the platform goes down, and a node that is
-// replaced meanwhile sends work there: it could not read of the drain in the log. Its
-// peers tell it.
+// A data centre is drained and the platform becomes unreachable. A node that is replaced
+// meanwhile cannot read the drain from the log; its peers send it, or the node would send
+// work there.
 TEST(drains, of_a_data_centre_reaches_a_node_that_cannot_read_the_log)
 {
     fleet      system;
@@ -181,8 +184,8 @@
         }));
 }
 
-// A cheap VM is told to go and says so at once; the platform's list lags by minutes. What
-// is sent to it in between is cut when it goes.
+// A cheap VM is told to leave and announces it at once, while the platform's list lags by
+// minutes. Calls sent to it in between would be interrupted when it leaves.
 TEST(drains, a_server_that_says_it_leaves_gets_no_new_work)
 {
     fleet system;
@@ -197,8 +200,8 @@
     EXPECT_EQ(generated_at(system, 0), before);
 }
 
-// All cheap engines of a zone are reclaimed in the same second while they stream: each
-// reply stops. Each goes on elsewhere, where it stopped, to its proper end.
+// All cheap engines of a data centre are reclaimed in the same second while they stream.
+// Each stream resumes on another engine where it was interrupted and ends properly.
 TEST(drains, a_zone_reclaimed_at_once_loses_no_stream)
 {
     fleet                system({.engines = 6});
--- a/tests/failure/keys_test.cpp
+++ b/tests/failure/keys_test.cpp
@@ -1,4 +1,5 @@
-// Keys under faults: withdrawn everywhere within seconds, and never seen behind an entry.
+// API keys under faults: a withdrawn key is refused everywhere within seconds, and no key
+// leaves an entry VM.
 //
 // Index: 1 helpers, 2 withdrawal, 3 work in progress, 4 secrecy
 #include "domain/boot_clock.hpp"
@@ -26,7 +27,7 @@
     return {{"Authorization", "Bearer " + system.key(workspace)}};
 }
 
-/// A caller that keeps its connection open from call to call.
+/// A caller that keeps its connection open between calls.
 class open_connection
 {
 public:
@@ -74,10 +75,10 @@
 
 // 2. Withdrawal
 
-/// Story: a withdrawn key goes on working at some nodes. Order: callers stand connected
-/// to all nodes, the platform is out, one node is paused; the key is withdrawn at
-/// another; the paused one wakes up, a new one starts. Cause: a withdrawal that goes
-/// through the log alone, or is told to peers only once.
+/// A withdrawn key must stop working at all nodes. Callers are connected to all nodes,
+/// the platform is unreachable and one node is paused; the key is withdrawn at another
+/// node; the paused node resumes and a new one starts. This fails if a withdrawal spreads
+/// through the log only, or is sent to peers only once.
 TEST(keys, a_withdrawn_key_stops_everywhere_without_the_platform)
 {
     fleet           system;
@@ -102,14 +103,15 @@
     system.node(1).wait(5000);
     system.start_node(1);
     EXPECT_TRUE(eventually([&] { return callers[1].status() == 401; }));
-    // The other workspace's key works on.
+    // The key of the other workspace still works.
     httplib::Client client("127.0.0.1", system.node_port(1));
     EXPECT_EQ(client.Get("/v1/models", bearer(system, "south"))->status, 200);
 }
 
-/// Story: a withdrawn key works again after all nodes were replaced. Order: it is
-/// withdrawn while the platform is out, the append is given up; the platform is back, and
-/// every node that heard of it goes. Cause: a withdrawal that never reached the log.
+/// A withdrawn key must not work again after all nodes were replaced. It is withdrawn
+/// during an outage of the platform and the append is given up; the platform returns, and
+/// every node that received the withdrawal is replaced. This fails if the withdrawal is
+/// never appended to the log.
 TEST(keys, a_withdrawal_during_an_outage_reaches_the_log_afterwards)
 {
     fleet system;
@@ -146,9 +148,8 @@
     return options;
 }
 
-/// Story: a caller's answer is cut although nobody asked for that. Order: a long answer
-/// is under way, its key is withdrawn at another node. Cause: withdrawal taken for a
-/// cancel.
+/// A withdrawal is no cancel. A long response is in progress when its key is withdrawn at
+/// another node; the response must finish.
 TEST(keys, dispatched_work_of_a_withdrawn_key_finishes)
 {
     fleet           system(slow_engine());
@@ -169,8 +170,9 @@
     EXPECT_TRUE(system.received(system.engine_port(0), "cancel").empty());
 }
 
-/// Story: a stolen key's answer streams on after the operator said so. Order: as above,
-/// but the key is withdrawn as compromised. Cause: only new requests are judged.
+/// A key is withdrawn as compromised at another node while a long response is in
+/// progress. The response must be cancelled, which fails if only new requests are
+/// checked.
 TEST(keys, dispatched_work_of_a_compromised_key_is_cancelled)
 {
     fleet           system(slow_engine());
@@ -194,9 +196,9 @@
 
 // 4. Secrecy
 
-/// Story: whoever reads an engine's request, a log file, a span or the platform's log can
-/// call in the workspace's name. Order: calls of all kinds, good and bad, withdrawals,
-/// changes. Cause: a header or body passed on as it came, or written down.
+/// Whoever reads an engine's requests, a log file, a span or the platform's log must find
+/// no key. Calls of all kinds, valid and invalid, withdrawals and changes are made. This
+/// fails if a header or body is relayed unchanged or written to a log.
 TEST(keys, no_key_is_ever_seen_behind_an_entry)
 {
     fleet_options options;
@@ -227,7 +229,7 @@
     ASSERT_TRUE(eventually(
         [&] { return !system.received(system.platform_port(), "usage").empty(); }));
     std::string seen = system.outputs();
-    ASSERT_TRUE(holds(seen, "dispatch")); // spans are among it
+    ASSERT_TRUE(holds(seen, "dispatch")); // the outputs include the spans
     for (auto const& text : system.log_records())
     {
         seen += text;
--- a/tests/failure/orders_roles_test.cpp
+++ b/tests/failure/orders_roles_test.cpp
@@ -1,4 +1,4 @@
-// Changes of role over processes; the truth is what the engines received and generated.
+// Role changes over processes, checked against what the engines received and generated.
 #include "support/order_checks.hpp"
 #include "support/steady_callers.hpp"
 
@@ -22,7 +22,7 @@
     "[roles]\n; asked for by the tests\nwording = prefill=0\n";
 constexpr int tokens_asked = steady_callers::tokens_asked;
 
-/// Engines in dc-1 and dc-2; nodes 0 and 3 stand in dc-1, nodes 1 and 4 in dc-2.
+/// Engines in dc-1 and dc-2; nodes 0 and 3 run in dc-1, nodes 1 and 4 in dc-2.
 fleet_options two_data_centres(bool checks_fencing = true)
 {
     return {.nodes = 5,
@@ -52,7 +52,7 @@
     return is_prefill(system.engine_port(0)) && is_prefill(system.engine_port(1));
 }
 
-/// Streams that an engine ended before their end, by its own account.
+/// Streams that an engine interrupted, by its own count.
 int cut_streams(fleet const& system, int engine)
 {
     httplib::Client client("127.0.0.1", system.engine_port(engine));
@@ -83,7 +83,7 @@
     return std::stoi(node.substr(5));
 }
 
-/// The node that intended a change of the engine in that data centre.
+/// The node that appended the intent of a role change for the engine in that data centre.
 int intending_node(fleet const& system, std::string const& data_centre)
 {
     for (auto const& entry : intents(system))
@@ -96,8 +96,8 @@
     return -1;
 }
 
-/// Story: both engines are ordered to another role while answers stream from them. An
-/// engine that changes its role cuts what runs on it, and a caller waits for the rest.
+/// Both engines are ordered to another role while they stream. An engine that changes its
+/// role interrupts its running requests, so it must be drained first.
 TEST(orders_roles, a_change_of_role_under_load_cuts_no_request)
 {
     fleet          system(two_data_centres());
@@ -117,8 +117,8 @@
     }
 }
 
-/// Story: an engine crashes while it changes its role and comes back in its old one. The
-/// change would stay half done, or the engine out of service for good.
+/// An engine crashes while it changes its role and restarts in its old one. The change
+/// must be completed, or the engine stays out of service.
 TEST(orders_roles, an_engine_that_crashes_in_the_middle_is_brought_to_its_role)
 {
     fleet system(two_data_centres());
@@ -131,8 +131,8 @@
     EXPECT_TRUE(one_holder_at_a_time(orders_at(system, system.engine_port(0), "order")));
 }
 
-/// Story: the controller is killed after its intent, in the middle of the drain. Its
-/// successor has to settle the change, or the engine is never routed to again.
+/// The controller is killed after its intent, in the middle of the drain. Its successor
+/// must settle the change, or the engine is never routed to again.
 TEST(orders_roles, a_killed_controllers_change_is_settled_by_its_successor)
 {
     fleet system(two_data_centres());
@@ -147,7 +147,8 @@
     EXPECT_EQ(orders.back().from, killed == 0 ? "node-3" : "node-0");
 }
 
-/// For a while the node reads nothing new of the log, so it believes what it knew before.
+/// Keeps the node from reading new log records for a while, so that it acts on its old
+/// state.
 void keep_from_reading(fleet const& system, int node)
 {
     system.fault(system.platform_port(), {{"kind", "slow"},
@@ -157,10 +158,10 @@
                                           {"count", 2}});
 }
 
-/// Story: the controller is paused between its intent and its order for longer than the
-/// lease. The successor has settled the change and has turned the engine back for the
-/// operators, when the first one wakes up, cut off from the log, and finds the engine in
-/// a role that it was to change.
+/// The controller is paused between its intent and its order for longer than the lease.
+/// Its successor has settled the change and has returned the engine to the role that the
+/// operators asked for. The first controller resumes without access to the log and finds
+/// the engine in a role that it was to change.
 void expect_nothing_from_a_paused_controller(bool checks_fencing)
 {
     fleet system(two_data_centres(checks_fencing));
@@ -192,8 +193,9 @@
     expect_nothing_from_a_paused_controller(false);
 }
 
-/// Story: answers of appends and of orders are lost, and some appends take effect late.
-/// An engine's role is turned twice, or an order given up on turns it back later.
+/// Responses to appends and orders are lost, and some appends take effect late. The role
+/// of an engine must not be changed twice, and an abandoned order must not revert it
+/// later.
 TEST(orders_roles, lost_answers_and_late_appends_turn_each_engine_once)
 {
     fleet system(two_data_centres());
@@ -215,8 +217,8 @@
     }
 }
 
-/// Story: the log goes out while an engine is drained for a change. The holder's lease
-/// ends before the drain does; an order after that has no authority behind it.
+/// The log becomes unreachable while an engine is drained for a role change. The lease of
+/// the holder ends before the drain does, and an order after that has no authority.
 TEST(orders_roles, a_drain_that_outlasts_the_lease_gives_no_order)
 {
     fleet system(two_data_centres());
@@ -226,7 +228,8 @@
         system.engine_port(0),
         {{"kind", "slow"}, {"path", "/load"}, {"for_ms", 1'700}, {"count", 1000}});
     system.fault(system.platform_port(), {{"kind", "outage"}, {"path", "/log/append"}});
-    std::this_thread::sleep_for(std::chrono::milliseconds(2'500)); // beyond the lease
+    std::this_thread::sleep_for(
+        std::chrono::milliseconds(2'500)); // longer than the lease
     auto const before = orders_at(system, system.engine_port(0), "order").size();
     system.fault(system.engine_port(0), {{"kind", "none"}});
     std::this_thread::sleep_for(std::chrono::milliseconds(2'000));
@@ -236,10 +239,10 @@
     EXPECT_TRUE(one_holder_at_a_time(orders_at(system, system.engine_port(0), "order")));
 }
 
-/// Story: everything at once: the controller is paused past its lease; its successor has
-/// ordered and is killed; the engine crashes in the middle and comes back in its old
-/// role; the first controller wakes up, cut off from the log, and finds its order not
-/// obeyed.
+/// Several faults at once: the controller is paused past its lease; its successor has
+/// ordered and is killed; the engine crashes in the middle of the change and restarts in
+/// its old role; the first controller resumes without access to the log and finds that
+/// its order was not obeyed.
 TEST(orders_roles, a_paused_holder_a_killed_successor_and_a_crash_leave_one_at_a_time)
 {
     fleet system(two_data_centres(false));
--- a/tests/failure/orders_socket_test.cpp
+++ b/tests/failure/orders_socket_test.cpp
@@ -1,4 +1,4 @@
-// One order under a lease that ends while its sender is stopped, over processes.
+// An order whose lease ends while its sender is stopped, over processes.
 #include "adapters/order_socket.hpp"
 #include "support/node_process.hpp"
 
@@ -45,7 +45,7 @@
             std::to_string(padding)};
 }
 
-/// The successor's order, sent by this process under a fencing number of its own.
+/// The order of the successor, sent by this process with its own fencing number.
 void order_as_successor(int port, int fence)
 {
     order_socket const socket(millis{5000}, "successor");
@@ -65,9 +65,9 @@
     EXPECT_TRUE(sent);
 }
 
-/// Story: the holder checks its lease, is paused for longer than the lease, and wakes up
-/// when a successor is in office and has ordered the same engine to another role. Its
-/// order goes out at its next instruction; an engine that ignores fencing obeys it.
+/// The holder checks its lease, is paused for longer than the lease, and resumes after a
+/// successor has ordered the same engine to another role. Its next instruction sends the
+/// order, and an engine that ignores fencing would obey it.
 void expect_no_order_from_a_paused_holder(bool checks_fencing, int padding = 0)
 {
     constexpr int lease_ms = 100;
@@ -100,13 +100,13 @@
     expect_no_order_from_a_paused_holder(false);
 }
 
-/// The same for a usage report, which may be of many segments.
+/// The same for a usage report, which may take several segments.
 TEST(orders_socket, a_paused_holder_gets_no_long_report_through)
 {
     expect_no_order_from_a_paused_holder(false, 200'000);
 }
 
-/// A long request arrives whole, although the kernel takes it in parts.
+/// A long request arrives complete, although the kernel accepts it in parts.
 TEST(orders_socket, a_long_report_arrives_whole)
 {
     constexpr int padding = 8'000'000;
@@ -120,7 +120,7 @@
     EXPECT_GT(orders[0]["body"].get<std::string>().size(), std::size_t{padding});
 }
 
-/// The other side of the promise: a pause that ends within the lease costs nothing.
+/// A pause that ends within the lease must not prevent the order.
 TEST(orders_socket, a_holder_paused_within_its_lease_still_sends)
 {
     fleet         system(one_engine(true));
@@ -131,9 +131,9 @@
     EXPECT_EQ(system.received(system.engine_port(0), "order").size(), 1U);
 }
 
-/// Story: the engine's machine is gone but for its open port: the order is neither
+/// The VM of the engine is gone except for its open port: the order is neither
 /// acknowledged nor refused, and the kernel would retransmit it for minutes. A stopped
-/// engine stands for it: the order is sent within the lease and answered after it.
+/// engine simulates this: the order is sent within the lease and answered after it.
 TEST(orders_socket, an_unanswered_order_ends_with_the_lease)
 {
     fleet system(one_engine(true));
