--- a/tests/failure/cuts_test.cpp
+++ b/tests/failure/cuts_test.cpp
@@ -130,8 +130,8 @@
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
 }
 
-// An entry VM is killed while it holds the platform's lease and dozens of streams.
-// Callers of the other VMs are not affected.
+// An entry VM that may hold leases is killed while it serves many streams. Callers of the
+// other VMs are not affected.
 TEST(cuts, a_killed_entry_vm_harms_no_other)
 {
     fleet                system;
--- a/tests/failure/drains_test.cpp
+++ b/tests/failure/drains_test.cpp
@@ -121,8 +121,8 @@
     }
 }
 
-// The operators' tool reports the result by its exit code, and an unknown server name
-// changes nothing.
+// The operators' tool reports the result by its exit code: 0 for an accepted drain, 2 for
+// an unknown scope, which changes nothing.
 TEST(drains, by_the_operators_tool)
 {
     fleet      system;
@@ -143,8 +143,8 @@
     EXPECT_TRUE(system.node(0).running());
 }
 
-// An entry VM is stopped during an outage of the platform. It waits for the log as long
-// as its settings allow, and reports usage that it could not append.
+// An entry VM that is stopped during an outage of the platform waits for the log for
+// drain_ms, and exits with 1 if usage is left that it could not append.
 TEST(drains, wait_for_the_log_and_tell_when_usage_is_left)
 {
     fleet_options options;
--- a/tests/failure/orders_vms_test.cpp
+++ b/tests/failure/orders_vms_test.cpp
@@ -1,4 +1,4 @@
-// Orders of backend servers over processes; the truth is what the platform received.
+// Orders of backend servers over processes, checked against what the platform received.
 #include "support/order_checks.hpp"
 #include "support/steady_callers.hpp"
 
@@ -32,7 +32,7 @@
             .platform_settings = {{"list_lag_ms", list_lag_ms}}};
 }
 
-/// VMs bought so far, in truth.
+/// VMs bought so far, by the current list of the platform.
 std::size_t bought(fleet const& system)
 {
     std::size_t count = 0;
@@ -56,8 +56,8 @@
     return count;
 }
 
-/// Waits until three VMs were bought and all orders are settled, and then for a while
-/// longer in which no other may come.
+/// Waits until three VMs are bought, and then for a while longer in which no other may be
+/// bought.
 void expect_three_and_no_more(fleet const& system)
 {
     EXPECT_TRUE(eventually([&] { return bought(system) >= 3; }, 60'000));
@@ -72,7 +72,7 @@
     return node == 0 ? 1 : 0;
 }
 
-/// Holder of the orderer's duty, as soon as there is one.
+/// Waits until the duty of the orderer has a holder and returns it.
 int wait_for_orderer(fleet const& system, int asked = 0)
 {
     int holder = -1;
@@ -93,8 +93,8 @@
     EXPECT_EQ(orders_at(system, system.platform_port(), "vm_order").size(), 3U);
 }
 
-/// Story: the platform starts a VM and its answer is lost. The orderer, which does not
-/// see the VM in the lagging list, orders it again: two VMs run and are paid for.
+/// The platform starts a VM and its response is lost. The orderer does not see the VM in
+/// the lagging list and must not order it again, as two VMs would run and be paid for.
 TEST(orders_vms, a_lost_answer_buys_nothing_twice)
 {
     fleet system(three_data_centres());
@@ -104,9 +104,9 @@
     expect_three_and_no_more(system);
 }
 
-/// Story: the orderer is killed after the platform has got its order and before anything
-/// was noted of it. Its successor finds an order that may or may not have taken effect,
-/// and a list that lags by more than a lease and can't tell yet.
+/// The orderer is killed after the platform has received its order and before any outcome
+/// is logged. Its successor finds an order that may or may not have taken effect, and a
+/// list that lags by more than a lease and so cannot show it yet.
 TEST(orders_vms, a_killed_orderers_purchase_is_neither_repeated_nor_forgotten)
 {
     fleet system(three_data_centres("2500", "8000"));
@@ -124,8 +124,9 @@
     EXPECT_NE(wait_for_orderer(system, other_than(killed)), killed);
 }
 
-/// Story: the orderer appends an intent and is paused for longer than its lease. The
-/// successor settles it and buys; then the first one wakes up and sends its order.
+/// The orderer appends an intent and is paused for longer than its lease. The successor
+/// settles the intent and buys; then the first orderer resumes and must not send its
+/// order.
 TEST(orders_vms, a_paused_orderer_buys_nothing_in_its_successors_time)
 {
     fleet system(three_data_centres());
@@ -153,9 +154,9 @@
     return json::parse(answer->body)["running"].get<std::int64_t>();
 }
 
-/// Story: there is one server too many in each data centre. The platform takes those away
-/// that it is told to, at once; answers that stream from them would be cut. The answer to
-/// the first dismissal is lost, and another server would be dismissed in its place.
+/// Each data centre has one server too many. The platform removes a server as soon as it
+/// is told to, so streams on a busy server would be interrupted. The response to the
+/// first dismissal is lost, and no other server may be dismissed in its place.
 TEST(orders_vms, only_the_surplus_is_dismissed_and_only_when_it_is_idle)
 {
     auto options = three_data_centres();
@@ -191,8 +192,9 @@
     EXPECT_EQ(bought(system), 0U);
 }
 
-/// Story: the log is out for longer than a lease while VMs are missing. Nobody is in
-/// charge then, so nothing may be ordered, and after the outage nothing twice.
+/// The log is unreachable for longer than a lease while VMs are missing. No node holds
+/// the duty then, so nothing may be ordered, and after the outage nothing may be ordered
+/// twice.
 TEST(orders_vms, nothing_is_ordered_without_the_log)
 {
     fleet system(three_data_centres());
@@ -201,7 +203,8 @@
     ASSERT_TRUE(apply_lines(system, two_wording_servers, "second"));
     wait_for_orderer(system);
     system.fault(system.platform_port(), {{"kind", "outage"}, {"path", "/log/append"}});
-    std::this_thread::sleep_for(std::chrono::milliseconds(2'000)); // beyond the lease
+    std::this_thread::sleep_for(
+        std::chrono::milliseconds(2'000)); // longer than the lease
     auto const before = orders_at(system, system.platform_port(), "vm_order").size();
     std::this_thread::sleep_for(std::chrono::milliseconds(2'000));
     EXPECT_EQ(orders_at(system, system.platform_port(), "vm_order").size(), before);
@@ -209,9 +212,9 @@
     expect_three_and_no_more(system);
 }
 
-/// Story: the platform takes longer for each append than a node waits between renewals.
-/// Intents and outcomes come late, leases are close to their end, and the same need is
-/// seen at many looks.
+/// The platform takes longer for each append than a node waits between renewals. Intents
+/// and outcomes arrive late, leases are close to their end, and several checks see the
+/// same demand before an order shows.
 TEST(orders_vms, a_slow_log_buys_nothing_twice)
 {
     fleet system(three_data_centres());
@@ -223,9 +226,9 @@
     expect_three_and_no_more(system);
 }
 
-/// Story: the orderer alone is cut off from the platform after its first intent, while
-/// its peers still reach it. A successor takes the duty; the cut ends and the first one
-/// goes on where it was.
+/// Only the orderer is partitioned from the platform, after its first intent, while its
+/// peers still reach it. A successor takes the duty; the partition ends and the first
+/// orderer goes on where it was.
 TEST(orders_vms, an_orderer_cut_off_from_the_platform_is_replaced_and_buys_nothing)
 {
     fleet system(three_data_centres());
@@ -245,9 +248,9 @@
     expect_three_and_no_more(system);
 }
 
-/// Story: the appends of three intents are given up on, others take their place and the
-/// VMs are bought; then the first three take effect, under a lease that still runs. They
-/// look like any other intent, and their holder sends what nobody needs any more.
+/// The appends of three intents are given up, others take their place and the VMs are
+/// bought; then the first three take effect under a lease that still runs. They look like
+/// any other intent, and their holder must not send the obsolete orders.
 TEST(orders_vms, an_intent_that_takes_effect_late_buys_nothing)
 {
     fleet system(three_data_centres());
@@ -256,13 +259,14 @@
         {{"kind", "late"}, {"text", "\"intent\""}, {"for_ms", 4'000}, {"count", 3}});
     ASSERT_TRUE(apply_lines(system, two_wording_servers, "second"));
     EXPECT_TRUE(eventually([&] { return bought(system) >= 3; }, 60'000));
-    std::this_thread::sleep_for(std::chrono::milliseconds(4'000)); // all late ones are in
+    std::this_thread::sleep_for(
+        std::chrono::milliseconds(4'000)); // all late appends took effect
     expect_three_and_no_more(system);
 }
 
-/// Story: answers of appends are lost and some appends take effect two seconds late,
-/// while the orderer is killed and its successors race for the duty. An intent that was
-/// given up on becomes effective when its VM has long been bought.
+/// Responses to appends are lost and some appends take effect two seconds late, while the
+/// orderer is killed and its successors race for the duty. An intent that was given up
+/// takes effect long after its VM was bought.
 TEST(orders_vms, late_and_lost_appends_with_a_kill_buy_nothing_twice)
 {
     fleet system(three_data_centres());
--- a/tests/failure/poison_test.cpp
+++ b/tests/failure/poison_test.cpp
@@ -1,4 +1,5 @@
-// A request that crashes each server that runs it, and retries when much fails at once.
+// A request that crashes each server that runs it, and retries when many calls fail at
+// once.
 #include "support/caller.hpp"
 #include "support/node_process.hpp"
 
@@ -14,10 +15,9 @@
 
 using nlohmann::json;
 
-/// Story: one claim bundle crashes every engine that reads it. Its clerk sends it again
-/// and again, through whatever entry VM the balancer picks; engine after engine falls,
-/// and every answer that ran beside it is lost. Cause: nothing remembers what was in
-/// flight on a crashed engine.
+/// One request crashes every engine that reads it. Its caller repeats it through any
+/// entry VM, so engine after engine would crash and interrupt all other responses in
+/// progress there. This fails if nothing records what was in flight on a crashed engine.
 TEST(poison, takes_two_engines_at_most_and_the_rest_finish_elsewhere)
 {
     constexpr int                engines = 6;
@@ -74,8 +74,8 @@
     }
 }
 
-/// Story: an entry VM starts after the crashes; the clerk's next try goes through it.
-/// Cause: the suspicion was told before it listened.
+/// An entry VM starts after the crashes and receives the next attempt of the caller. This
+/// fails if a suspicion is sent only once, before the VM listens.
 TEST(poison, an_entry_that_started_later_knows_it)
 {
     fleet system({.engines = 4, .engine_settings = {{"poison", "cursed"}}});
@@ -101,12 +101,12 @@
     EXPECT_EQ(fallen, 2);
 }
 
-/// What a burst of requests cost the engines.
+/// The load that a burst of requests puts on the engines.
 struct burst_cost
 {
     int         admitted = 0;
     int         whole = 0;
-    std::size_t received = 0; // by engines that still live
+    std::size_t received = 0; // by engines that still run
     int         slowest_ms = 0;
 };
 
@@ -154,8 +154,8 @@
               << cost.slowest_ms << " ms\n";
 }
 
-/// Story: engines fail; each caller's request is tried three times, the engines that are
-/// left get three times the load, and fail as well. Cause: retries without a budget.
+/// Engines fail, and each request is attempted three times. Without a retry budget the
+/// remaining engines would receive three times the load and fail as well.
 TEST(retries, stay_within_the_budget_when_every_try_fails)
 {
     constexpr int count = 300;
--- a/tests/failure/service_targets_test.cpp
+++ b/tests/failure/service_targets_test.cpp
@@ -1,4 +1,4 @@
-// Service targets over processes: a slow engine, the verdict and its evidence.
+// Service targets over processes: the verdict on a slow engine and its evidence.
 #include "support/node_process.hpp"
 
 #include <httplib.h>
@@ -37,9 +37,9 @@
     return json::object();
 }
 
-// The tender fines a missed target. All engines turn slow but go on answering: every call
-// ends well, only its tokens come far apart. A verdict from counts of failures would say
-// "held"; it must say "missed", name the calls, and the spans must hold the same times.
+// All engines are slow but answer: every call ends properly, only the time between its
+// tokens is too long. A verdict from counts of failures would be "held"; it must be
+// "missed" and name the calls, and the spans must hold the same times.
 TEST(service_targets, a_slow_engine_is_a_missed_target_though_every_call_ends_well)
 {
     fleet_options options;
--- a/tests/failure/shared_limits_test.cpp
+++ b/tests/failure/shared_limits_test.cpp
@@ -1,4 +1,4 @@
-// Limits of workspaces over several entry VMs.
+// Rate limits of workspaces over several entry VMs.
 #include "support/node_process.hpp"
 
 #include <httplib.h>
@@ -18,14 +18,15 @@
 using steady = std::chrono::steady_clock;
 
 constexpr std::int64_t limit = 60'000;      // tokens a minute
-constexpr std::int64_t prompt_tokens = 500; // by the front's estimate, at least
-constexpr std::int64_t burst_s = 10;        // of the limit, saved up
+constexpr std::int64_t prompt_tokens = 500; // at least, as the entry VM estimates
+constexpr std::int64_t burst_s = 10;        // seconds of the limit that accumulate
 constexpr int          calls = 90;
 
-// A workspace's bill runs over its limit: its caller reaches several entry VMs, one of
-// which has just started, another is cut off from its peers, and each admits up to the
-// whole limit. The caller must see refusals that say not run and when to come back, and
-// the engines must have got no more than the limit allows.
+// An entry VM that has just started, or that is isolated from its peers, must not admit
+// the full limit of a workspace on its own, or a caller that reaches several entry VMs
+// exceeds the limit. One of three entry VMs is restarted here. The caller must receive
+// refusals with the fate `not_run` and a time to come back, and the engines must receive
+// no more than the limit allows.
 TEST(shared_limits, hold_over_entry_vms_that_restart_and_cannot_ask)
 {
     fleet      system;
@@ -43,7 +44,7 @@
         ASSERT_TRUE(eventually(
             [&] { return system.admin(node, "/admin/rules")["revision"] != base; }));
     }
-    // A node takes the limits of new rules with its next heartbeat.
+    // A node applies the limits of new rules with its next heartbeat.
     std::this_thread::sleep_for(std::chrono::milliseconds{1'500});
     system.node(2).signal(SIGKILL);
     system.node(2).wait(5'000);
--- a/tests/failure/silent_connections_test.cpp
+++ b/tests/failure/silent_connections_test.cpp
@@ -1,4 +1,4 @@
-// Connections that go silent for good while new ones work.
+// Connections that become silent for good while new ones work.
 #include "support/model_caller.hpp"
 
 #include <gtest/gtest.h>
@@ -22,9 +22,9 @@
     return options;
 }
 
-// A class's line takes long: a firewall forgot the kept-alive connections between entry
-// VM and engine while nobody wrote. Each idle connection that is left costs the caller
-// another silence, until the attempts are used up, though a new connection would work.
+// A firewall drops the state of idle keep-alive connections between entry VM and engine.
+// Each remaining idle connection would cost the caller another timeout, until the
+// attempts are used up, although a new connection would work.
 TEST(silent_connections, idle_ones_cost_one_silence_and_not_each_its_own)
 {
     auto options = one_engine();
@@ -47,8 +47,8 @@
     EXPECT_TRUE(call_model(system, 0, question).whole(question));
 }
 
-// A reply stops in the middle: the connection to the only engine goes silent while it
-// streams. The caller sees a pause of progress_ms, then the rest, each token once.
+// The connection to the only engine becomes silent during a stream. The caller sees a
+// pause of progress_ms, then the rest, with each token once.
 TEST(silent_connections, a_stream_goes_on_at_the_same_engine_over_a_new_one)
 {
     fleet                system(one_engine());
@@ -66,8 +66,9 @@
     EXPECT_EQ(system.received(system.engine_port(0), "generate").size(), 2U);
 }
 
-// An operator withdraws a VM, and its engine goes on getting work: another engine is
-// frozen, and whoever asks for loads waits for it before reading the list again.
+// An operator withdraws a VM while another engine is frozen. If the query for loads
+// waited for the frozen engine before the list is read again, the withdrawn engine would
+// go on receiving calls.
 TEST(silent_connections, a_frozen_engine_holds_up_no_report_and_no_list)
 {
     fleet_options options;
@@ -96,8 +97,8 @@
     system.engine(0).signal(SIGCONT);
 }
 
-// Requests are refused as overloaded though hardly anybody is served: callers that read
-// nothing any more, or vanished without a word, keep the connections' threads.
+// Callers that no longer read, or vanished without closing, must not keep the threads of
+// their connections, or requests are refused as overloaded although hardly any is served.
 TEST(silent_connections, a_caller_that_reads_nothing_gives_its_slot_back)
 {
     auto options = one_engine();
@@ -128,8 +129,9 @@
     }
 }
 
-// Orders and withdrawals go to an entry VM that is stopped: the others still count it as
-// there. Its kernel acknowledges everything, so only what it says itself can tell.
+// An entry VM is stopped. Its kernel still acknowledges everything, so only missing
+// heartbeats show that it is not live. Peers that count it as live would go on sending it
+// orders and withdrawals.
 TEST(silent_connections, a_stopped_peer_is_not_live_until_it_goes_on)
 {
     fleet      system({.engines = 1, .services = 0});
@@ -144,8 +146,8 @@
     EXPECT_TRUE(eventually([&] { return live(2); }));
 }
 
-// A key that was withdrawn goes on working at one entry VM: the connections to it have
-// gone silent, and nothing opens new ones.
+// All connections to one entry VM become silent. Unless its peers open new ones, a
+// withdrawn key would go on working there.
 TEST(silent_connections, peers_open_a_new_one_when_theirs_went_silent)
 {
     fleet_options options;
@@ -165,8 +167,8 @@
     EXPECT_TRUE(eventually([&] { return live(0) == 2; }));
 }
 
-// After a week of small faults an entry VM refuses everything: each lost connection left
-// a thread, a descriptor or a count behind.
+// A thousand lost connections must leave no thread, descriptor or count behind, or an
+// entry VM would refuse everything after a while.
 TEST(silent_connections, a_thousand_of_them_leave_nothing_behind)
 {
     auto options = one_engine();
--- a/tests/failure/thin_path_test.cpp
+++ b/tests/failure/thin_path_test.cpp
@@ -1,4 +1,4 @@
-// The whole path over processes: caller, entry, engine or service, platform.
+// The whole path over processes: caller, entry VM, engine or service, platform.
 #include "support/caller.hpp"
 #include "support/model_caller.hpp"
 #include "support/node_process.hpp"
--- a/tests/failure/usage_audit_test.cpp
+++ b/tests/failure/usage_audit_test.cpp
@@ -1,5 +1,6 @@
-// Bills under faults: what the engines' stand-ins generated against what the platform's
-// stand-in received, to the token.
+// Usage reports under faults: the tokens that the stand-ins of the engines generated are
+// compared with those that the stand-in of the platform received, and must be equal to
+// the token.
 //
 // Index: 1 load, 2 audit, 3 stories
 #include "domain/boot_clock.hpp"
@@ -28,7 +29,7 @@
 
 // 1. Load
 
-/// Callers of both workspaces at all nodes, until stopped.
+/// Callers of both workspaces at all nodes, until stop() or destruction.
 class caller_load
 {
 public:
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Requests whose caller saw the whole answer.
+    /// Ids of the requests whose caller received the complete response.
     std::set<std::string> whole()
     {
         std::lock_guard const lock(mutex_);
@@ -115,7 +116,7 @@
     auto operator<=>(request_bill const&) const = default;
 };
 
-/// What the engines generated for each request, over all its attempts.
+/// Tokens that the engines generated for each request, over all its attempts.
 std::map<std::string, request_bill> generated(fleet const& system, int engines)
 {
     std::map<std::string, request_bill> result;
@@ -136,7 +137,8 @@
     return result;
 }
 
-/// Calls `use` for every delta in the platform's log, with the name of its number.
+/// Calls `use` for every delta in the platform's log, with its number as
+/// node/incarnation/sequence.
 void for_each_logged(
     fleet const& system,
     std::function<void(std::string const& number, wire::usage_delta const&)> const& use)
@@ -156,7 +158,7 @@
     }
 }
 
-/// Deltas in the log by request, each numbered delta once.
+/// Deltas in the log by request id, each numbered delta once.
 std::multimap<std::string, request_bill> logged(fleet const& system)
 {
     std::multimap<std::string, request_bill> result;
@@ -175,7 +177,7 @@
     return result;
 }
 
-/// Deltas that stand in the log more than once.
+/// Number of deltas that are in the log more than once.
 std::size_t repeated_deltas(fleet const& system)
 {
     std::set<std::string> seen;
@@ -198,7 +200,8 @@
     return result;
 }
 
-/// What the platform received; fails the test if a window has two figures.
+/// Totals that the platform received; fails the test if a window has two different
+/// reports.
 totals reported(fleet const& system)
 {
     std::map<std::string, std::string> windows;
@@ -222,8 +225,9 @@
     return result;
 }
 
-/// Every whole answer is billed once and to the token, every cut one at most once and
-/// never beyond what was generated; and just that was reported.
+/// Checks that every complete response is billed once and to the token, every interrupted
+/// one at most once and never for more than was generated, and that exactly this was
+/// reported.
 void audit(fleet const& system, int engines, std::set<std::string> const& whole)
 {
     ASSERT_GT(whole.size(), 20U);
@@ -252,7 +256,7 @@
     }
 }
 
-/// Usage that reached the log through another node than the one that served it.
+/// Number of usage records that another node appended than the one that served the calls.
 std::size_t appended_for_others(fleet const& system)
 {
     std::size_t count = 0;
@@ -290,9 +294,8 @@
 
 // 3. Stories
 
-/// Story: a workspace is billed for less than it was served. Order: a node serves
-/// answers, is killed before its next append, and its memory is gone. Cause: deltas that
-/// waited only there.
+/// A node serves responses and is killed before its next append, so its memory is lost.
+/// Usage that exists only there would be missing from the report.
 TEST(usage_audit, a_killed_node_loses_no_usage)
 {
     fleet       system(audited("1500"));
@@ -305,15 +308,14 @@
     EXPECT_GT(appended_for_others(system), 0U);
 }
 
-/// Story: the same answer is on the bill twice. Order: appends take effect, their answers
-/// are lost, or they take effect a second later; the node appends again. Cause: a repeat
-/// taken for new usage.
+/// Responses to appends are lost, or appends take effect seconds late, and the node
+/// appends again. A repeated delta must not count as new usage.
 TEST(usage_audit, lost_answers_and_late_appends_bill_nothing_twice)
 {
     fleet       system(audited("100"));
     caller_load load(system);
     pause(500);
-    // Longer than the nodes wait for their own record: they append it again.
+    // Longer than the nodes wait for their own record, so that they append it again.
     system.fault(system.platform_port(),
                  {{"kind", "late"}, {"count", 8}, {"for_ms", 3000}});
     pause(3500);
@@ -324,9 +326,9 @@
     EXPECT_GT(repeated_deltas(system), 0U);
 }
 
-/// Story: a window arrives twice with different figures. Order: the reporter is paused
-/// past its lease, another takes over, the first wakes up and goes on where it was.
-/// Cause: figures that a reporter keeps for itself.
+/// The reporter is paused past its lease, another node takes over, and the first one
+/// resumes and goes on where it was. It must not send a window again with other figures,
+/// which fails if a reporter keeps figures of its own.
 TEST(usage_audit, a_reporter_paused_past_its_lease_reports_nothing_else)
 {
     fleet system(audited("100"));
@@ -349,7 +351,7 @@
         senders.insert(report["from"]);
     }
     EXPECT_GE(senders.size(), 2U);
-    // Nobody reports again once a successor did: fencing numbers only rise.
+    // No node reports after its successor has reported: fencing numbers never fall.
     std::uint64_t fence = 0;
     for (auto const& report : system.received(system.platform_port(), "usage"))
     {
@@ -359,9 +361,9 @@
     }
 }
 
-/// Story: usage of an outage is missing from the bill. Order: the log is out, answers go
-/// on, a node is killed in the middle of it; then the log is back. Cause: two faults at
-/// once, of which each alone is survived.
+/// Two faults at once, each of which alone loses nothing: the log is unreachable, and a
+/// node that goes on serving is killed during the outage. Its usage must be reported
+/// after the outage.
 TEST(usage_audit, a_node_killed_while_the_log_is_out_loses_no_usage)
 {
     fleet       system(audited("100"));
@@ -372,7 +374,7 @@
     auto const served = load.whole().size();
     system.node(2).signal(SIGKILL);
     pause(800);
-    EXPECT_GT(load.whole().size(), served); // served on, without the log
+    EXPECT_GT(load.whole().size(), served); // calls are served without the log
     pause(1200);
     load.stop();
     audit(system, 2, load.whole());
--- a/tests/failure/whole_answer_test.cpp
+++ b/tests/failure/whole_answer_test.cpp
@@ -1,5 +1,5 @@
-// A caller gets the whole answer to its own request, or a typed error, whatever engines
-// do.
+// A caller receives the complete response to its own request, or a typed error, whatever
+// the engines do.
 #include "support/caller.hpp"
 #include "support/model_caller.hpp"
 #include "support/node_process.hpp"
@@ -26,10 +26,9 @@
     }
 }
 
-/// Story: the caller of a certificate's wording reads a line twice, a line of another
-/// child, or a line that stops short. An engine (or what lies between) doubles, swaps,
-/// crosses, cuts or delays events, or sends ones of an earlier attempt. Cause: events are
-/// taken as they come.
+/// An engine, or the network before it, repeats, reorders, mixes up, damages or delays
+/// events, or sends events of an earlier attempt. The caller would read tokens twice,
+/// tokens of another call or a shortened text if events were relayed as they arrive.
 class confused_engine : public testing::TestWithParam<char const*>
 {
 };
@@ -51,8 +50,8 @@
                          testing::Values("doubled", "reordered", "stale",
                                          "crossed_middle", "late", "malformed"));
 
-/// Story: as above, but the one engine that is confused can't end the answer; another one
-/// has to, from the token that is missing.
+/// As above, but the faulty engine cannot finish the response; another one has to resume
+/// it from the first missing token.
 class broken_engine : public testing::TestWithParam<char const*>
 {
 };
@@ -77,8 +76,8 @@
                          testing::Values("truncate", "crash_middle", "silent", "junk",
                                          "crossed"));
 
-/// Story: every engine cuts its answers; a caller's program takes half a claim's check
-/// for a whole one. Cause: a chunked answer that was cut ends like a whole one.
+/// Every engine truncates its responses. The caller must not take a part for the whole,
+/// which happens if a truncated chunked response ends like a complete one.
 TEST(whole_answer, a_short_answer_never_looks_whole)
 {
     fleet system;
@@ -92,8 +91,8 @@
     EXPECT_EQ(whole.error["type"], "backend_server_failed");
 }
 
-/// Story: the entry VM is killed in the middle of an answer. The caller's library must
-/// see a broken transfer, not an end.
+/// The entry VM is killed in the middle of a response. The HTTP library of the caller
+/// must see an interrupted transfer, not a proper end.
 TEST(whole_answer, a_killed_entry_leaves_the_transfer_broken)
 {
     fleet                system({.engine_settings = {{"decode_us", "100000"}}});
@@ -114,8 +113,9 @@
     EXPECT_FALSE(answer.done);
 }
 
-/// Story: a clerk closes the page; the engine goes on for nobody, or what it ran is not
-/// billed. Cause: the entry VM only notices at the next token, and counts what it sent.
+/// A caller closes its connection. The engine must not go on generating, and what it ran
+/// must be billed. This fails if the entry VM notices only at the next token, or counts
+/// the tokens that it sent.
 class leaving_caller : public testing::TestWithParam<std::tuple<bool, char const*>>
 {
 };
@@ -145,8 +145,8 @@
                     // Slow prefill: the caller leaves before the first token.
                     std::tuple{true, "3"}));
 
-/// Story: an engine sends bytes for ever that are no token; the caller waits beyond its
-/// deadline. Cause: each byte starts a read timeout again.
+/// An engine sends bytes without end that form no token. The caller would wait beyond its
+/// deadline if each byte restarted the read timeout.
 TEST(whole_answer, a_trickling_engine_is_left_at_the_deadline)
 {
     fleet system({.engines = 1,
@@ -158,8 +158,8 @@
     EXPECT_LT(answer.duration_ms, 20000);
 }
 
-/// Story: an engine changes its role and refuses for two seconds; callers see errors.
-/// Cause: a plain refusal is taken for a failure, or is not tried elsewhere.
+/// An engine that changes its role refuses calls for two seconds. Callers would see
+/// errors if a plain refusal counted as a failure or were not attempted elsewhere.
 TEST(whole_answer, an_engine_that_changes_its_role_is_passed_over)
 {
     fleet           system;
--- a/tests/golden/sessions_test.cpp
+++ b/tests/golden/sessions_test.cpp
@@ -1,9 +1,9 @@
-// Whole sessions as caller, engine, service and platform saw them, against files under
-// tests/golden/sessions. Ids, times, ports and keys are replaced by names in the order of
-// their first appearance; the comparison is exact.
+// Complete sessions as caller, engine, service and platform saw them, compared with the
+// files under tests/golden/sessions. Ids, times and keys are replaced by placeholders,
+// ids in the order of their first appearance; the comparison is exact.
 //
-// To write the files anew after a wanted change: MARIGOLDCRANK_WRITE_GOLDEN=1
-// build/tests/golden_tests, then read the difference before it is committed.
+// To rewrite the files after an intended change, run MARIGOLDCRANK_WRITE_GOLDEN=1
+// build/tests/golden_tests and review the difference before committing it.
 #include "support/caller.hpp"
 #include "support/node_process.hpp"
 
@@ -22,7 +22,7 @@
 
 using nlohmann::json;
 
-/// Replaces what differs from run to run.
+/// Replaces what differs between runs: keys, times and ids.
 class normaliser
 {
 public:
@@ -57,7 +57,7 @@
     std::map<std::string, std::string> names_;
 };
 
-/// Lines of one session.
+/// The text of one session, to be compared with its golden file.
 class recorder
 {
 public:
@@ -80,7 +80,7 @@
         lines_ << names_.text(answer->body) << "\n";
     }
 
-    /// What a stand-in received, with the headers that the system sets.
+    /// Appends what a stand-in received, with the headers that the system sets.
     void received(std::string const& who, json const& entries)
     {
         lines_ << "== " << who << "\n";
@@ -113,7 +113,7 @@
     std::ostringstream lines_;
 };
 
-/// The platform's records of calls and its reports with usage in them.
+/// Appends to the platform's log that contain records of calls.
 json of_requests(fleet const& system)
 {
     json kept = json::array();
--- a/tests/support/bench_authority.cpp
+++ b/tests/support/bench_authority.cpp
@@ -1,6 +1,7 @@
-// Measures authority over processes with the default lease: how long a duty is without a
-// holder after a kill and after a planned stop, and what leases cost the log at rest.
-// Prints `name value unit`, one a line. Argument: rounds of each kind (10).
+// Measures the hand-over of duties with the default lease: the time that a duty is
+// without a holder after a kill and after a planned stop, and the appends that leases
+// cause in an idle fleet. Prints `name value unit` lines. Argument: rounds of each kind
+// (10).
 #include "domain/boot_clock.hpp"
 #include "domain/settings.hpp"
 #include "support/order_checks.hpp"
@@ -37,7 +38,8 @@
             .engine_settings = {{"role_change_ms", "200"}}};
 }
 
-/// Waits until the duty is held by another than `old`; -1 if that takes too long.
+/// Waits until another node than `old` holds the duty of the reporter and returns it; on
+/// timeout returns the last holder seen, -1 if none.
 int wait_for_holder(fleet const& system, int old, int asked)
 {
     int holder = -1;
@@ -51,8 +53,8 @@
     return holder;
 }
 
-/// One change of holder; milliseconds from the signal, or from the release that it leads
-/// to, until the next holder's claim is read.
+/// Stops the holder with `signal` and returns the milliseconds until the claim of the
+/// next holder is read, counted from SIGKILL or from the release that SIGTERM causes.
 double change_of_holder(fleet& system, int signal)
 {
     auto const holder = wait_for_holder(system, -1, 0);
@@ -85,7 +87,8 @@
     std::vector<double>                values;
     for (int round = 0; round < rounds; ++round)
     {
-        std::this_thread::sleep_for(millis{phase(random)}); // any phase of the renewal
+        std::this_thread::sleep_for(
+            millis{phase(random)}); // a random phase of the renewal
         values.push_back(change_of_holder(system, signal));
     }
     print(name, values);
@@ -108,7 +111,7 @@
 {
     auto const rounds = count > 1 ? std::max(1, std::atoi(arguments[1])) : 10;
     fleet      system(nine_nodes());
-    std::this_thread::sleep_for(rest); // roles and VMs come to rest first
+    std::this_thread::sleep_for(rest); // until roles and VMs are settled
     measure_rest(system);
     measure_changes(system, "without_holder_after_kill", SIGKILL, rounds);
     measure_changes(system, "without_holder_after_planned_stop", SIGTERM, rounds);
--- a/tests/support/caller.hpp
+++ b/tests/support/caller.hpp
@@ -1,6 +1,6 @@
-// A caller of the language model API, and what the stand-ins know of its requests.
+// A caller of the language model API, and the record of its requests at the stand-ins.
 //
-// Index: 1 caller_options, 2 streamed_answer, 3 ask, 4 the receiving end's truth
+// Index: 1 caller_options, 2 streamed_answer, 3 ask, 4 generated
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_CALLER_HPP
 #define MARIGOLDCRANK_TESTS_SUPPORT_CALLER_HPP
 
@@ -17,18 +17,18 @@
 
 struct caller_options
 {
-    int         tokens = 8;                 // 8     length of the answer
-    std::string prompt = "a line for Noor"; //       decides the answer's text
+    int         tokens = 8;                 // 8     max_tokens of the request
+    std::string prompt = "a line for Noor"; //       determines the response text
     bool        stream = true;              // true  server-sent events
-    int         leave_after_ms = 0;         // 0     closes the connection; 0 for never
+    int         leave_after_ms = 0;         // 0     closes the connection then; 0: never
 };
 
-/// What the caller saw.
+/// What the caller received.
 struct streamed_answer
 {
     int            status = 0;
-    bool           complete = false; // the HTTP transfer ended in good order
-    bool           done = false;     // the end marker of the API came
+    bool           complete = false; // the HTTP transfer ended properly
+    bool           done = false;     // the end marker of the API arrived
     std::string    text;
     int            token_count = 0;
     nlohmann::json error = nlohmann::json::object();
@@ -37,12 +37,12 @@
     std::int64_t   duration_ms = 0;
 };
 
-/// Asks entry VM `node` for a chat completion as workspace north.
+/// Sends a chat completion request to entry VM `node` as workspace north.
 streamed_answer ask(fleet const& system, int node, caller_options const& options);
 
 httplib::Headers bearer(fleet const& system, std::string const& workspace = "north");
 
-/// What an engine generated, for whom.
+/// Requests that an engine ran, with the workspace and the tokens of each.
 nlohmann::json generated(fleet const& system, int engine);
 
 } // namespace marigoldcrank::tests
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -1,4 +1,4 @@
-// A program started by a test.
+// A child process started by a test.
 #include "support/child_process.hpp"
 
 #include "support/eventually.hpp"
@@ -54,7 +54,7 @@
 
 void child_process::signal(int number) const
 {
-    // Its number may belong to another process once its end was taken note of.
+    // Once the process was reaped, its pid may belong to another one.
     if (status_ < 0)
     {
         ::kill(pid_, number);
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -1,4 +1,4 @@
-// A program started by a test.
+// A child process started by a test.
 //
 // Index: child_process
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_CHILD_PROCESS_HPP
@@ -11,11 +11,11 @@
 namespace marigoldcrank::tests
 {
 
-/// A started program; killed when the object goes.
+/// A running program; the destructor kills it.
 class child_process
 {
 public:
-    /// Output goes to the file `output`, or nowhere if it is empty.
+    /// Appends stdout and stderr to the file `output`, or discards them if it is empty.
     explicit child_process(std::vector<std::string> const& command,
                            std::string const&              output = "");
     ~child_process();
@@ -26,7 +26,8 @@
     void  signal(int number) const;
     bool  running();
 
-    /// Waits for the end; -1 if it still runs after the timeout.
+    /// Waits for the end and returns the exit code, or 128 + signal number if a signal
+    /// ended the process; -1 if it still runs after the timeout.
     int wait(int timeout_ms);
 
 private:
--- a/tests/support/eventually.cpp
+++ b/tests/support/eventually.cpp
@@ -1,4 +1,4 @@
-// Waiting for a condition.
+// Polling for a condition.
 #include "support/eventually.hpp"
 
 #include "domain/boot_clock.hpp"
--- a/tests/support/eventually.hpp
+++ b/tests/support/eventually.hpp
@@ -1,4 +1,4 @@
-// Waiting for a condition.
+// Polling for a condition.
 //
 // Index: eventually
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_EVENTUALLY_HPP
@@ -9,7 +9,8 @@
 namespace marigoldcrank::tests
 {
 
-/// Polls until `condition` holds; false after the timeout, which only bounds a failure.
+/// Polls `condition` every 10 ms until it holds; returns false after the timeout, which
+/// passes only in a failing test.
 bool eventually(std::function<bool()> const& condition, int timeout_ms = 20000);
 
 } // namespace marigoldcrank::tests
--- a/tests/support/model_caller.cpp
+++ b/tests/support/model_caller.cpp
@@ -1,4 +1,4 @@
-// A caller of model calls.
+// A caller that checks streamed model responses to the token.
 #include "support/model_caller.hpp"
 
 #include "adapters/sse_reader.hpp"
@@ -145,8 +145,8 @@
             {
                 for (auto turn = static_cast<std::size_t>(index); !over_; ++turn)
                 {
-                    // Equal prompts in flight on two servers that crash would make them
-                    // one and the same suspect of being poison.
+                    // Each prompt differs: equal prompts in flight on two servers that
+                    // crash would become one suspect of being poison.
                     auto own = question;
                     own.prompt +=
                         " " + std::to_string(index) + "/" + std::to_string(turn);
--- a/tests/support/model_caller.hpp
+++ b/tests/support/model_caller.hpp
@@ -1,4 +1,4 @@
-// A caller of model calls, for tests of failures.
+// A caller that checks streamed model responses to the token, for failure tests.
 //
 // Index: 1 model_answer, 2 call_model, 3 caller_group, 4 counts
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_MODEL_CALLER_HPP
@@ -16,42 +16,42 @@
 namespace marigoldcrank::tests
 {
 
-/// One request for `tokens` tokens.
+/// A chat completion request for `tokens` tokens.
 struct model_question
 {
     std::string workspace = "north";
-    std::string key; // "": the workspace's own
+    std::string key; // "": the key of the workspace
     std::string prompt = "a line for Noor";
     int         tokens = 8;
     bool        stream = true;
     int         timeout_s = 30;
-    int         port = 0; // 0: the node's own, else a relay before it
+    int         port = 0; // 0: the port of the node, else of a relay before it
 };
 
-/// What the caller saw.
+/// What the caller received.
 struct model_answer
 {
-    int           status = 0; // 0: no answer at all
+    int           status = 0; // 0: no response
     std::string   text;       // tokens in the order of arrival
     std::uint64_t stated_tokens = 0;
-    bool          ended = false; // the proper end marker came
-    std::string   fate;          // of a refusal
+    bool          ended = false; // the end marker arrived
+    std::string   fate;          // of a refused or failed call
     std::string   request_id;
     std::string   connection; // header Connection
-    std::string   expected;   // the text that every engine gives as the answer
+    std::string   expected;   // the text that every engine generates for it
 
     bool whole(model_question const& question) const;
 };
 
-/// Calls a node; `on_bytes` runs as parts of a streamed answer arrive.
+/// Calls a node; `on_bytes` runs whenever a part of the response arrives.
 model_answer call_model(
     fleet const& system, int node, model_question const& question = {},
     std::function<void()> const& on_bytes = [] {});
 
-/// The text that every engine gives as the answer.
+/// The text that every engine generates for the request.
 std::string expected_text(model_question const& question);
 
-/// Callers that ask one node after the other until the object stops them.
+/// Threads that call the nodes in turn until stop() or destruction.
 class caller_group
 {
 public:
@@ -59,10 +59,10 @@
                  model_question question);
     ~caller_group();
 
-    /// Stops and gives all answers.
+    /// Stops the callers and returns all responses.
     std::vector<model_answer> stop();
 
-    /// Answers so far.
+    /// Number of responses so far.
     std::size_t answered() const;
 
 private:
@@ -72,11 +72,11 @@
     std::vector<std::thread>  threads_;
 };
 
-/// Output tokens in the reports that the platform received, each window once; of one
-/// workspace, or of all if it is empty.
+/// Output tokens in the usage reports that the platform received, each window once, for
+/// one workspace, or for all if it is empty.
 std::uint64_t reported_tokens(fleet const& system, std::string const& workspace = "");
 
-/// Entries of /proc/PID/NAME, for example of `fd` and `task`.
+/// Number of entries in /proc/PID/NAME, where `fd` counts descriptors and `task` threads.
 std::size_t process_count(pid_t pid, std::string const& name);
 
 } // namespace marigoldcrank::tests
--- a/tests/support/node_process.cpp
+++ b/tests/support/node_process.cpp
@@ -1,4 +1,4 @@
-// Processes for tests.
+// A fleet of daemon and stand-in processes.
 //
 // Index: 1 fleet: set-up, 2 fleet: processes, 3 fleet: calls
 #include "support/node_process.hpp"
@@ -44,7 +44,7 @@
     return "dc-" + std::to_string(index % 3 + 1);
 }
 
-/// Timings short enough for tests, long enough for a busy machine.
+/// Timings that are short enough for tests and long enough for a busy host.
 std::map<std::string, std::string> short_timings()
 {
     return {{"lease_ms", "1500"},
@@ -161,7 +161,7 @@
     }
     if (options_.apply_rules && options_.nodes > 0)
     {
-        // On a busy machine the answer of the append may come too late; the same change
+        // On a busy host the response to the append may arrive too late; the same change
         // is then sent again, as the operators' tool does.
         require(eventually(
                     [&] {
@@ -172,7 +172,7 @@
         for (int index = 0; index < options_.nodes; ++index)
         {
             require(eventually([&] { return serves(node_port(index), "/readyz"); }),
-                    "a node did not get the first rules");
+                    "a node did not become ready with the first rules");
             require(
                 eventually(
                     [&]
@@ -180,7 +180,7 @@
                         return admin(index, "/admin/status")["backend_servers"].size() ==
                                engine_ports_.size() + service_ports_.size();
                     }),
-                "a node did not get the list of backend servers");
+                "a node did not receive the list of backend servers");
         }
     }
 }
@@ -234,7 +234,7 @@
     platform_ = std::make_unique<child_process>(command_of("platform_standin", settings),
                                                 output_of("platform"));
     require(eventually([&] { return serves(platform_port_, "/control/received"); }),
-            "the platform's stand-in did not start");
+            "the stand-in of the platform did not start");
 }
 
 void fleet::start_engine(int index)
@@ -388,7 +388,7 @@
 {
     httplib::Client client("127.0.0.1", port);
     auto const answer = client.Post("/control/fault", value.dump(), "application/json");
-    require(answer && answer->status == 200, "a fault was not set");
+    require(answer && answer->status == 200, "a stand-in did not accept a fault");
 }
 
 std::string fleet::output_of(std::string const& process) const
@@ -417,7 +417,7 @@
     for (std::uint64_t from = 1;;)
     {
         auto const answer = client.Get("/log/read?from=" + std::to_string(from));
-        require(static_cast<bool>(answer), "the log could not be read");
+        require(static_cast<bool>(answer), "the log of the platform could not be read");
         auto const page = json::parse(answer->body);
         if (answer->status != 200)
         {
@@ -459,7 +459,7 @@
     httplib::Client client("127.0.0.1", platform_port_);
     require(static_cast<bool>(
                 client.Post("/control/vms", machines.dump(), "application/json")),
-            "the list of machines was not taken");
+            "the stand-in of the platform did not take the list of VMs");
 }
 
 json fleet::apply(int node, std::string const& rules, std::uint64_t base_revision,
--- a/tests/support/node_process.hpp
+++ b/tests/support/node_process.hpp
@@ -1,4 +1,4 @@
-// Processes for tests: daemons and stand-ins on loopback ports that no other test uses.
+// A fleet of daemon and stand-in processes on loopback ports that no other test uses.
 //
 // Index: 1 fleet_options, 2 fleet
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_NODE_PROCESS_HPP
@@ -21,23 +21,25 @@
 namespace marigoldcrank::tests
 {
 
-/// What a fleet consists of.
+/// The processes of a fleet and their settings.
 struct fleet_options
 {
-    int                                nodes = 3;
-    int                                engines = 2;
-    int                                services = 1;
-    std::string                        rules;         // ""  the default rules
-    std::map<std::string, std::string> node_settings; // key to value, over short timings
+    int         nodes = 3;
+    int         engines = 2;
+    int         services = 1;
+    std::string rules; // ""  the default rules
+    std::map<std::string, std::string>
+        node_settings; // key to value; override short timings
     std::map<std::string, std::string> engine_settings; // key to value
     std::map<std::string, std::string> platform_settings;
     bool                               apply_rules = true;
     bool                               keep_output = false; // see fleet::outputs
-    bool relayed = false; // a tcp_relay before the platform, each engine, service, peer
+    bool relayed = false; // puts a tcp_relay before the platform and each engine,
+                          // service, peer
 };
 
-/// Platform, engines, services and nodes, each a process. Node i stands in data centre
-/// dc-(i mod 3 + 1), and so do engine i and service i.
+/// Platform, engines, services and nodes, each a process. Node i runs in data centre
+/// dc-(i mod 3 + 1), and so do engine i and service i. Ports are loopback ports.
 class fleet
 {
 public:
@@ -54,48 +56,50 @@
     child_process& service(int index);
     child_process& platform();
 
-    /// The relays, if the fleet was built with them.
+    /// The relays; only with fleet_options::relayed.
     tcp_relay& platform_relay();
     tcp_relay& engine_relay(int engine);
     tcp_relay& service_relay(int service);
     tcp_relay& peer_relay(int node);
 
-    /// A port that nothing else uses, for a test's own relay.
+    /// An unused port, for example for a relay of the test.
     int next_port();
 
-    /// Starts or starts again; waits until it serves (not for nodes if `wait` is false).
+    /// Starts or restarts a process and waits until it serves; start_node does not wait
+    /// if `wait` is false.
     void start_platform();
     void start_node(int index, bool wait = true);
     void start_engine(int index);
     void start_service(int index);
 
-    /// What a stand-in was asked so far, by kind; all kinds if empty.
+    /// Requests that the stand-in at `port` has received, of one kind, or of all if
+    /// empty.
     nlohmann::json received(int port, std::string const& kind = "") const;
     void           fault(int port, nlohmann::json const& value) const;
 
-    /// All that the processes printed and the nodes' spans, with keep_output.
+    /// The output of all processes and the spans of the nodes; needs keep_output.
     std::string outputs() const;
 
-    /// Texts of all records that the platform's log retains.
+    /// Texts of all records that the log of the platform retains.
     std::vector<std::string> log_records() const;
 
-    /// Puts the list of machines as it is now into the platform.
+    /// Sends the list of VMs to the platform; `changes` maps a VM id to changed fields.
     void publish_machines(nlohmann::json const& changes = nlohmann::json::object()) const;
 
-    /// Sends a change through a node; the daemon's answer.
+    /// Sends a change of the rules to a node and returns its response.
     nlohmann::json apply(int node, std::string const& rules, std::uint64_t base_revision,
                          std::string const& change_id) const;
     nlohmann::json admin(int node, std::string const& path) const;
     nlohmann::json admin_post(int node, std::string const& path,
                               nlohmann::json const& body) const;
 
-    /// Bearer key of workspace `north` or `south` in the default rules.
+    /// API key of workspace `north` or `south` in the default rules.
     std::string key(std::string const& workspace) const;
 
     std::string const& rules() const noexcept;
     std::string const& operator_key() const noexcept;
 
-    /// Settings file text of one node; start_node writes and uses it.
+    /// Settings of one node, key to value; start_node writes them to its settings file.
     std::map<std::string, std::string>& node_settings(int index);
 
 private:
@@ -103,22 +107,22 @@
     std::string      output_of(std::string const& process) const;
     std::vector<int> relay_to(std::vector<int> const& ports);
 
-    fleet_options                                   options_;
-    port_block                                      ports_;
-    std::string                                     directory_;
-    std::string                                     rules_;
-    std::string                                     operator_key_;
-    std::string                                     operator_setting_;
-    std::map<std::string, std::string>              keys_;
-    int                                             platform_port_ = 0;
-    std::vector<int>                                node_ports_;
-    std::vector<int>                                peer_ports_;
-    std::vector<int>                                engine_ports_;
-    std::vector<int>                                service_ports_;
-    std::vector<int>                                engine_addresses_; // as published
-    std::vector<int>                                service_addresses_;
-    std::vector<int>                                peer_addresses_;
-    int                                             platform_address_ = 0;
+    fleet_options                      options_;
+    port_block                         ports_;
+    std::string                        directory_;
+    std::string                        rules_;
+    std::string                        operator_key_;
+    std::string                        operator_setting_;
+    std::map<std::string, std::string> keys_;
+    int                                platform_port_ = 0;
+    std::vector<int>                   node_ports_;
+    std::vector<int>                   peer_ports_;
+    std::vector<int>                   engine_ports_;
+    std::vector<int>                   service_ports_;
+    std::vector<int>                   engine_addresses_; // as published to the platform
+    std::vector<int>                   service_addresses_;
+    std::vector<int>                   peer_addresses_;
+    int                                platform_address_ = 0;
     std::map<int, std::unique_ptr<tcp_relay>>       relays_; // by target port
     std::vector<std::map<std::string, std::string>> node_settings_;
     std::unique_ptr<child_process>                  platform_;
--- a/tests/support/order_checks.cpp
+++ b/tests/support/order_checks.cpp
@@ -1,4 +1,4 @@
-// What tests of orders ask the stand-ins.
+// Queries of the stand-ins for tests of orders.
 #include "support/order_checks.hpp"
 
 #include <httplib.h>
@@ -42,7 +42,7 @@
     {
         return -1;
     }
-    auto const holder = duties[duty]["holder"].get<std::string>(); // node-N/incarnation
+    auto const holder = duties[duty]["holder"].get<std::string>(); // "node-N/incarnation"
     return std::stoi(holder.substr(5, holder.find('/') - 5));
 }
 
--- a/tests/support/order_checks.hpp
+++ b/tests/support/order_checks.hpp
@@ -1,4 +1,4 @@
-// What tests of orders ask the stand-ins.
+// Queries of the stand-ins for tests of orders.
 //
 // Index: 1 duties, 2 orders received, 3 engines
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_ORDER_CHECKS_HPP
@@ -15,20 +15,20 @@
 namespace marigoldcrank::tests
 {
 
-/// Rules of the fleet with more lines behind them, as the next revision.
+/// The rules of the fleet followed by `lines`.
 std::string rules_with(fleet const& system, std::string const& lines);
 
-/// Applies them through node 0; true if accepted.
+/// Applies rules_with(lines) through `node` (default 0); true if accepted.
 bool apply_lines(fleet const& system, std::string const& lines,
                  std::string const& change_id, int node = 0);
 
-/// Number of the node that holds the duty as `asked` has read it; -1 for none.
+/// Number of the node that holds the duty according to node `asked`; -1 if none.
 int holder_of(fleet const& system, std::string const& duty, int asked = 0);
 
-/// Appends of intents that the platform received, in order: {from, order body}.
+/// Appends of intents that the platform received, in order, as {from, intent}.
 std::vector<nlohmann::json> intents(fleet const& system);
 
-/// An order as a stand-in received it.
+/// An order received by a stand-in.
 struct received_order
 {
     std::string   from;
@@ -41,13 +41,13 @@
 std::vector<received_order> orders_at(fleet const& system, int port,
                                       std::string const& kind);
 
-/// True if fencing numbers never fall, and each has one sender.
+/// True if the fencing numbers never fall and each belongs to one sender.
 bool one_holder_at_a_time(std::vector<received_order> const& orders);
 
-/// The engine's own state.
+/// The state that the engine at `port` reports.
 nlohmann::json engine_state_at(int port);
 
-/// The platform's true list of VMs.
+/// The current list of VMs of the platform, without its lag.
 nlohmann::json true_machines(fleet const& system);
 
 } // namespace marigoldcrank::tests
--- a/tests/support/port_block.cpp
+++ b/tests/support/port_block.cpp
@@ -20,8 +20,8 @@
 
 namespace
 {
-/// A socket bound to the port, or -1 if somebody else has it. With `reuse`, connections
-/// of earlier tests that are only waiting to be forgotten (TIME_WAIT) don't count.
+/// Returns a socket bound to the port, or -1 if the port is in use. With `reuse`, closed
+/// connections of earlier tests in the state TIME_WAIT don't count.
 int bind_port(int port, bool reuse)
 {
     int const socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -43,8 +43,8 @@
 port_block::port_block()
 {
     constexpr int blocks = (highest_port - lowest_port) / block_size;
-    // Each fleet of a process starts behind the one before: connections of that one
-    // keep its ports for a minute after they were closed.
+    // Each fleet of a process starts at the block after the previous one, whose closed
+    // connections occupy its ports for a minute.
     static std::atomic<int> earlier{0};
     int const               start = (static_cast<int>(getpid()) + earlier++) % blocks;
     for (int step = 0; step < blocks; ++step)
@@ -56,7 +56,7 @@
             return;
         }
     }
-    throw std::runtime_error("no free block of ports");
+    throw std::runtime_error("no free block of loopback ports");
 }
 
 port_block::~port_block()
@@ -66,7 +66,7 @@
 
 int port_block::next()
 {
-    // The block is ours among tests; a port in it may still be somebody else's.
+    // No other test uses the block, but other programs may use a port in it.
     while (++used_ < block_size)
     {
         int const probe = bind_port(base_ + used_, true);
@@ -76,7 +76,7 @@
             return base_ + used_;
         }
     }
-    throw std::runtime_error("no free port in the block");
+    throw std::runtime_error("no free port in the block of the test");
 }
 
 } // namespace marigoldcrank::tests
--- a/tests/support/port_block.hpp
+++ b/tests/support/port_block.hpp
@@ -7,8 +7,8 @@
 namespace marigoldcrank::tests
 {
 
-/// Two hundred ports below the range of outgoing connections. One of them stays bound
-/// while the object lives, so that tests which run side by side never share a block.
+/// 200 loopback ports below the range of outgoing connections. The first one stays bound
+/// while the object lives, so that tests that run in parallel never share a block.
 class port_block
 {
 public:
--- a/tests/support/steady_callers.hpp
+++ b/tests/support/steady_callers.hpp
@@ -1,4 +1,4 @@
-// Callers that keep the engines busy while a test changes the fleet under them.
+// Callers that keep the engines busy while a test changes the fleet.
 //
 // Index: steady_callers
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_STEADY_CALLERS_HPP
@@ -17,11 +17,12 @@
 namespace marigoldcrank::tests
 {
 
-/// Callers that stream one answer after another until the object goes.
+/// Three threads, one for each of nodes 0 to 2, that stream one response after another
+/// until stop() or destruction.
 class steady_callers
 {
 public:
-    static constexpr int tokens_asked = 150; // of each answer
+    static constexpr int tokens_asked = 150; // of each response
 
     explicit steady_callers(fleet const& system)
     {
--- a/tests/support/stopped_sender.cpp
+++ b/tests/support/stopped_sender.cpp
@@ -1,7 +1,7 @@
-// A holder of a lease that stops itself between the check of its lease and the send of an
-// order, through the daemon's own order socket. Arguments: port, lease in ms, order id,
-// fencing number, padding of the body in bytes (optional). Exits with 0 if the order was
-// answered, 3 if nothing was sent, else 4.
+// A lease holder that stops itself with SIGSTOP between the check of its lease and the
+// send of an order, through the daemon's order socket. Arguments: port, lease in ms,
+// order id, fencing number, padding of the body in bytes (optional). Exits with 0 if the
+// order was answered, 3 if nothing was sent, else 4.
 #include "adapters/order_socket.hpp"
 
 #include <csignal>
--- a/tests/support/tcp_relay.cpp
+++ b/tests/support/tcp_relay.cpp
@@ -1,4 +1,4 @@
-// A TCP relay in the test process.
+// A TCP relay in the test process that injects faults.
 //
 // Index: 1 sockets, 2 controls, 3 the thread
 #include "support/tcp_relay.hpp"
@@ -18,9 +18,10 @@
 
 namespace
 {
-constexpr int         turn_ms = 2;
-constexpr int         backlog = 512;
-constexpr int         buffer_bytes = 16 * 1024; // small, so that a stalled reader shows
+constexpr int turn_ms = 2;
+constexpr int backlog = 512;
+constexpr int buffer_bytes =
+    16 * 1024; // small, so that a stalled reader causes backpressure
 constexpr std::size_t head_limit = 4096;
 constexpr std::size_t most_halves = 100; // silent connections closed at one end
 
@@ -55,7 +56,7 @@
             0 ||
         ::listen(listener_, backlog) != 0)
     {
-        throw std::runtime_error("a relay cannot bind its port");
+        throw std::runtime_error("a test relay cannot listen on its port");
     }
     thread_ = std::thread([this] { run(); });
 }
@@ -167,8 +168,8 @@
     }
 }
 
-/// The library's clients in this process cannot use descriptors above 1,023, so that a
-/// thousand forgotten connections must not be kept here.
+/// The HTTP library's clients in this process cannot use descriptors above 1,023, so the
+/// oldest connections that one end has closed are dropped beyond a limit.
 void tcp_relay::drop_oldest_halves()
 {
     std::size_t halves = 0;
@@ -208,7 +209,7 @@
 {
     if (own.silent)
     {
-        // The end of a silent connection is not passed on; only its own side is closed.
+        // The end of a silent connection is not relayed; only this side is closed.
         if ((events & (POLLRDHUP | POLLHUP | POLLERR)) != 0)
         {
             drop(from);
@@ -227,7 +228,7 @@
             learn_sender(own, bytes);
         }
         bool const lost = own.one_way && &from == &own.caller && size > 0;
-        // An empty piece stands for the end of the stream.
+        // An empty piece marks the end of the stream.
         if (!lost && (size >= 0 || errno != EAGAIN))
         {
             to.waiting.push_back({clock::now() + delay_, std::move(bytes)});
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -1,5 +1,5 @@
-// A TCP relay in the test process that stands between two processes and spoils their
-// connections.
+// A TCP relay in the test process that injects faults into the connections between two
+// processes.
 //
 // Index: tcp_relay
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_TCP_RELAY_HPP
@@ -18,10 +18,10 @@
 namespace marigoldcrank::tests
 {
 
-/// Listens on one loopback port and passes bytes to another. A silent connection stays
-/// open and passes nothing ever again, not even its end, as if something between the two
-/// ends had lost track of it. Senders are told apart by the X-Sender header of HTTP or
-/// the `from` field of peer messages, whichever comes first on a connection.
+/// Listens on one loopback port and relays bytes to another. A silent connection stays
+/// open and relays nothing any more, not even its end, as if a firewall between the two
+/// ends had dropped its state. The sender of a connection is read from the X-Sender
+/// header of HTTP or the `from` field of peer messages, whichever comes first.
 class tcp_relay
 {
 public:
@@ -30,27 +30,28 @@
     tcp_relay(tcp_relay const&) = delete;
     tcp_relay& operator=(tcp_relay const&) = delete;
 
-    /// All connections that are open now go silent for good; new ones work. Returns how
-    /// many went silent by this call.
+    /// Makes all open connections silent for good; new ones work. Returns the number of
+    /// connections that this call made silent.
     std::size_t silence_open();
 
-    /// Connections of these senders go silent, the new ones too, until the next call.
+    /// Makes connections of these senders silent, new ones too, until the next call;
+    /// connections that became silent stay so.
     void cut_off(std::set<std::string> senders);
 
-    /// All connections go silent, the new ones too, while this is on.
+    /// Makes all connections silent, new ones too, while this is on; they stay silent.
     void silence_all(bool on);
 
-    /// Connections that are open or opened while this is on pass nothing ever again from
-    /// the caller to the target, and everything the other way.
+    /// Connections that are open or opened while this is on drop everything from the
+    /// caller to the target for good, and relay everything the other way.
     void cut_one_way(bool on);
 
-    /// Closes what is open; closes new connections at once while this is on.
+    /// Closes all open connections; closes new ones at once while this is on.
     void cut(bool on);
 
-    /// Every piece of data arrives this much later.
+    /// Delays all data by this time, in both directions.
     void delay(std::chrono::milliseconds value);
 
-    /// Connections accepted so far, and those that are open.
+    /// Number of connections accepted so far, and of those that are open.
     std::size_t accepted() const;
     std::size_t open() const;
 
@@ -65,7 +66,7 @@
     struct half
     {
         int               socket = -1;
-        std::deque<piece> waiting; // to be written to `socket`
+        std::deque<piece> waiting; // data to be written to `socket`
     };
     struct connection
     {
@@ -74,7 +75,7 @@
         std::string head; // first bytes, until the sender is known
         std::string sender;
         bool        silent = false;
-        bool        one_way = false; // nothing passes to the target
+        bool        one_way = false; // data to the target is dropped
     };
 
     void run();
