--- a/tests/failure/at_most_once_test.cpp
+++ b/tests/failure/at_most_once_test.cpp
@@ -16,7 +16,7 @@
 using nlohmann::json;
 
 /// What the caller received for one attempt.
-struct try_outcome
+struct order_result
 {
     int         status = 0; // 0: the connection closed early
     std::string fate;
@@ -27,8 +27,8 @@
     std::string retry_after;
 };
 
-try_outcome order(fleet const& system, int node, std::string const& key,
-                  std::string const& body = "{\"copies\":30}")
+order_result order(fleet const& system, int node, std::string const& key,
+                   std::string const& body = "{\"copies\":30}")
 {
     httplib::Client client("127.0.0.1", system.node_port(node));
     client.set_read_timeout(30);
@@ -94,10 +94,10 @@
 }
 
 /// Sends the order through node 0 and kills the node as soon as `reached` holds.
-try_outcome order_and_kill(fleet& system, std::function<bool()> const& reached)
+order_result order_and_kill(fleet& system, std::function<bool()> const& reached)
 {
-    try_outcome seen;
-    std::thread caller([&] { seen = order(system, 0, "order-1"); });
+    order_result seen;
+    std::thread  caller([&] { seen = order(system, 0, "order-1"); });
     EXPECT_TRUE(eventually(reached));
     system.node(0).signal(SIGKILL);
     caller.join();
@@ -106,20 +106,20 @@
 }
 
 /// One point at which a call is interrupted, and the expected final outcome.
-struct cut_point
+struct interruption
 {
     char const* name;
     bool        answered; // the last attempt gets a response; else the outcome is unknown
-    std::vector<try_outcome> (*bring_about)(fleet&);
+    std::vector<order_result> (*interrupt)(fleet&);
 };
 
-std::vector<try_outcome> killed_before_intent(fleet& system)
+std::vector<order_result> killed_before_intent(fleet& system)
 {
     fault_log(system, "outage");
     return {order_and_kill(system, [&] { return appended(system, "intents"); })};
 }
 
-std::vector<try_outcome> killed_after_intent(fleet& system)
+std::vector<order_result> killed_after_intent(fleet& system)
 {
     // The append takes effect shortly after the entry VM was killed.
     fault_log(system, "late", 600);
@@ -128,13 +128,13 @@
     return {seen};
 }
 
-std::vector<try_outcome> killed_after_dispatch(fleet& system)
+std::vector<order_result> killed_after_dispatch(fleet& system)
 {
     fault_service(system, "silent", 60'000);
     return {order_and_kill(system, [&] { return runs(system).size() == 1; })};
 }
 
-std::vector<try_outcome> killed_before_answer(fleet& system)
+std::vector<order_result> killed_before_answer(fleet& system)
 {
     fault_service(system, "slow", 400);
     return {order_and_kill(system,
@@ -149,10 +149,10 @@
                            })};
 }
 
-std::vector<try_outcome> log_outage(fleet& system)
+std::vector<order_result> log_outage(fleet& system)
 {
     fault_log(system, "outage", 0, "");
-    std::vector<try_outcome> seen;
+    std::vector<order_result> seen;
     for (int node = 0; node < 3; ++node)
     {
         seen.push_back(order(system, node, "order-1"));
@@ -163,13 +163,13 @@
     return seen;
 }
 
-std::vector<try_outcome> lost_append_answer(fleet& system)
+std::vector<order_result> lost_append_answer(fleet& system)
 {
     fault_log(system, "drop_answer", 300);
     return {order(system, 0, "order-1")};
 }
 
-std::vector<try_outcome> late_append(fleet& system)
+std::vector<order_result> late_append(fleet& system)
 {
     fault_log(system, "late", 2500);
     auto seen = order(system, 0, "order-1");
@@ -177,7 +177,7 @@
     return {seen, order(system, 1, "order-1")};
 }
 
-std::vector<try_outcome> late_append_then_wait(fleet& system)
+std::vector<order_result> late_append_then_wait(fleet& system)
 {
     fault_log(system, "late", 2000);
     auto seen = order(system, 0, "order-1");
@@ -186,7 +186,7 @@
     return {seen};
 }
 
-std::vector<try_outcome> service_freezes_after_effect(fleet& system)
+std::vector<order_result> service_freezes_after_effect(fleet& system)
 {
     fault_service(system, "silent", 60'000);
     auto seen = order(system, 0, "order-1");
@@ -194,7 +194,7 @@
     return {seen};
 }
 
-std::vector<try_outcome> service_drops_answer(fleet& system)
+std::vector<order_result> service_drops_answer(fleet& system)
 {
     fault_service(system, "drop_answer", 0);
     auto seen = order(system, 0, "order-1");
@@ -202,7 +202,7 @@
     return {seen};
 }
 
-std::vector<try_outcome> service_down(fleet& system)
+std::vector<order_result> service_down(fleet& system)
 {
     system.service(0).signal(SIGKILL);
     system.service(0).wait(5000);
@@ -212,25 +212,25 @@
     return {seen};
 }
 
-std::vector<try_outcome> log_out_after_dispatch(fleet& system)
+std::vector<order_result> log_out_after_dispatch(fleet& system)
 {
     fault_service(system, "slow", 400);
-    try_outcome seen;
-    std::thread caller([&] { seen = order(system, 0, "order-1"); });
+    order_result seen;
+    std::thread  caller([&] { seen = order(system, 0, "order-1"); });
     EXPECT_TRUE(eventually([&] { return runs(system).size() == 1; }));
     fault_log(system, "outage", 0, "");
     caller.join();
     EXPECT_EQ(seen.status, 200);
-    std::vector<try_outcome> all{seen, order(system, 0, "order-1")};
+    std::vector<order_result> all{seen, order(system, 0, "order-1")};
     all.push_back(order(system, 1, "order-1"));
     return all;
 }
 
-std::vector<try_outcome> three_entries_at_once(fleet& system)
+std::vector<order_result> three_entries_at_once(fleet& system)
 {
     fault_service(system, "slow", 300);
-    std::vector<try_outcome> seen(3);
-    std::vector<std::thread> callers;
+    std::vector<order_result> seen(3);
+    std::vector<std::thread>  callers;
     for (int node = 0; node < 3; ++node)
     {
         callers.emplace_back(
@@ -244,7 +244,7 @@
     return seen;
 }
 
-constexpr cut_point cut_points[] = {
+constexpr interruption interruptions[] = {
     {"killed_before_intent", true, killed_before_intent},
     {"killed_after_intent", false, killed_after_intent},
     {"killed_after_dispatch", false, killed_after_dispatch},
@@ -263,15 +263,15 @@
 /// A caller repeats an order that is not idempotent, through any entry VM, until it
 /// receives a final response. The order must not run twice, and after `not_run` it must
 /// not have run at all. Each cut point interrupts the call at another step.
-class at_most_once : public testing::TestWithParam<cut_point>
+class at_most_once : public testing::TestWithParam<interruption>
 {
 };
 
 TEST_P(at_most_once, runs_once_at_most_and_not_run_is_true)
 {
     fleet      system;
-    auto const cut = GetParam();
-    auto       seen = cut.bring_about(system);
+    auto const point = GetParam();
+    auto       seen = point.interrupt(system);
     end_faults(system);
     int        next = 0;
     bool const settled = eventually(
@@ -281,7 +281,7 @@
             return seen.back().status == 200 || seen.back().type == "owner_lost";
         });
     EXPECT_TRUE(settled) << seen.back().type;
-    EXPECT_EQ(seen.back().status == 200, cut.answered) << seen.back().type;
+    EXPECT_EQ(seen.back().status == 200, point.answered) << seen.back().type;
     auto const received = runs(system);
     EXPECT_LE(received.size(), 1U) << received.dump(1);
     for (auto const& each : seen)
@@ -294,8 +294,8 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(cuts, at_most_once, testing::ValuesIn(cut_points),
-                         [](auto const& cut) { return std::string{cut.param.name}; });
+INSTANTIATE_TEST_SUITE_P(cuts, at_most_once, testing::ValuesIn(interruptions),
+                         [](auto const& point) { return std::string{point.param.name}; });
 
 /// A caller uses one idempotency key for two different orders. The second must not be
 /// answered with the result of the first.
--- a/tests/failure/configuration_test.cpp
+++ b/tests/failure/configuration_test.cpp
@@ -288,8 +288,8 @@
     std::uint64_t                      sum = 0;
     for (auto const& report : system.received(system.platform_port(), "usage"))
     {
-        auto const [place, first] = windows.emplace(report["path"], report["body"]);
-        EXPECT_EQ(place->second, report["body"]);
+        auto const [position, first] = windows.emplace(report["path"], report["body"]);
+        EXPECT_EQ(position->second, report["body"]);
         auto const body = json::parse(report["body"].get<std::string>());
         for (auto const& figure : body["figures"])
         {
--- a/tests/failure/cuts_test.cpp
+++ b/tests/failure/cuts_test.cpp
@@ -14,7 +14,7 @@
 
 /// Starts or ends a network partition that separates node 0 and engine 0, which are alone
 /// in dc-1, from the other data centres and from the platform.
-void cut_first_data_centre(fleet& system, bool on)
+void partition_first_data_centre(fleet& system, bool on)
 {
     std::set<std::string> const none;
     std::set<std::string> const inside{"node-0"};
@@ -29,8 +29,8 @@
     }
 }
 
-std::uint64_t whole_tokens(std::vector<model_answer> const& answers,
-                           model_question const&            question)
+std::uint64_t whole_tokens(std::vector<model_response> const& answers,
+                           model_question const&              question)
 {
     std::uint64_t tokens = 0;
     for (auto const& answer : answers)
@@ -54,19 +54,19 @@
     model_question const question{.tokens = 40};
     caller_group         load(system, {0, 1, 2}, 9, question);
     ASSERT_TRUE(eventually([&] { return load.answered() >= 9; }));
-    cut_first_data_centre(system, true);
-    auto const alone = [&]
+    partition_first_data_centre(system, true);
+    auto const isolated = [&]
     {
         return system.admin(0, "/admin/status")["live_peers"].empty();
     };
-    ASSERT_TRUE(eventually(alone));
+    ASSERT_TRUE(eventually(isolated));
     auto const answered = load.answered();
     auto const own = system.received(system.engine_port(0), "generate").size();
     ASSERT_TRUE(eventually([&] { return load.answered() >= answered + 90; }));
     EXPECT_GT(system.received(system.engine_port(0), "generate").size(), own);
     EXPECT_EQ(system.admin(0, "/admin/status")["backend_servers"].size(), 3U);
-    cut_first_data_centre(system, false);
-    ASSERT_TRUE(eventually([&] { return !alone(); }));
+    partition_first_data_centre(system, false);
+    ASSERT_TRUE(eventually([&] { return !isolated(); }));
     auto tokens = whole_tokens(load.stop(), question);
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
     // One more call, so that a duplicate batch that arrives later would show in a later
@@ -136,14 +136,14 @@
 {
     fleet                system;
     model_question const question{.tokens = 200};
-    caller_group         dying(system, {0}, 8, question);
+    caller_group         killed(system, {0}, 8, question);
     caller_group         others(system, {1, 2}, 8, question);
-    ASSERT_TRUE(eventually([&] { return dying.answered() >= 8; }));
+    ASSERT_TRUE(eventually([&] { return killed.answered() >= 8; }));
     system.node(0).signal(SIGKILL);
     auto const answered = others.answered();
     ASSERT_TRUE(eventually([&] { return others.answered() >= answered + 48; }));
     whole_tokens(others.stop(), question);
-    for (auto const& answer : dying.stop())
+    for (auto const& answer : killed.stop())
     {
         EXPECT_TRUE(answer.whole(question) || !answer.ended);
     }
--- a/tests/failure/keys_test.cpp
+++ b/tests/failure/keys_test.cpp
@@ -68,7 +68,7 @@
         .value("outcome", "");
 }
 
-bool holds(std::string const& text, std::string const& part)
+bool contains(std::string const& text, std::string const& part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -124,7 +124,8 @@
         auto const records = system.log_records();
         return std::any_of(records.begin(), records.end(),
                            [](auto const& text) {
-                               return holds(text, "withdrawal") && holds(text, "north-1");
+                               return contains(text, "withdrawal") &&
+                                      contains(text, "north-1");
                            });
     };
     EXPECT_TRUE(eventually(logged));
@@ -165,7 +166,7 @@
     auto const answer = caller.call(100);
     withdrawal.join();
     ASSERT_TRUE(answer);
-    EXPECT_TRUE(holds(answer->body, "data: [DONE]"));
+    EXPECT_TRUE(contains(answer->body, "data: [DONE]"));
     EXPECT_EQ(caller.status(), 401);
     EXPECT_TRUE(system.received(system.engine_port(0), "cancel").empty());
 }
@@ -188,8 +189,8 @@
     auto const answer = caller.call(400);
     withdrawal.join();
     ASSERT_TRUE(answer);
-    EXPECT_FALSE(holds(answer->body, "data: [DONE]"));
-    EXPECT_TRUE(holds(answer->body, "key_withdrawn"));
+    EXPECT_FALSE(contains(answer->body, "data: [DONE]"));
+    EXPECT_TRUE(contains(answer->body, "key_withdrawn"));
     EXPECT_TRUE(eventually(
         [&] { return !system.received(system.engine_port(0), "cancel").empty(); }));
 }
@@ -229,7 +230,7 @@
     ASSERT_TRUE(eventually(
         [&] { return !system.received(system.platform_port(), "usage").empty(); }));
     std::string seen = system.outputs();
-    ASSERT_TRUE(holds(seen, "dispatch")); // the outputs include the spans
+    ASSERT_TRUE(contains(seen, "dispatch")); // the outputs include the spans
     for (auto const& text : system.log_records())
     {
         seen += text;
@@ -239,14 +240,14 @@
     {
         seen += system.received(port).dump();
     }
-    ASSERT_TRUE(holds(seen, "generate"));
+    ASSERT_TRUE(contains(seen, "generate"));
     for (auto const& key :
          {system.key("north"), system.key("south"), wrong, system.operator_key()})
     {
-        EXPECT_FALSE(holds(seen, key));
-        EXPECT_FALSE(holds(seen, key.substr(key.rfind('_') + 1)));
+        EXPECT_FALSE(contains(seen, key));
+        EXPECT_FALSE(contains(seen, key.substr(key.rfind('_') + 1)));
     }
-    EXPECT_FALSE(holds(seen, "Bearer"));
+    EXPECT_FALSE(contains(seen, "Bearer"));
     for (auto const& request : system.received(system.engine_port(0), "generate"))
     {
         EXPECT_EQ(request["headers"]["X-Workspace"], "north");
--- a/tests/failure/orders_roles_test.cpp
+++ b/tests/failure/orders_roles_test.cpp
@@ -20,7 +20,7 @@
     "[roles]\n; asked for by the tests\nwording = prefill=1\n";
 constexpr char const* no_prefill_engine =
     "[roles]\n; asked for by the tests\nwording = prefill=0\n";
-constexpr int tokens_asked = steady_callers::tokens_asked;
+constexpr int requested_tokens = steady_callers::requested_tokens;
 
 /// Engines in dc-1 and dc-2; nodes 0 and 3 run in dc-1, nodes 1 and 4 in dc-2.
 fleet_options two_data_centres(bool checks_fencing = true)
@@ -53,19 +53,20 @@
 }
 
 /// Streams that an engine interrupted, by its own count.
-int cut_streams(fleet const& system, int engine)
+int interrupted_streams(fleet const& system, int engine)
 {
     httplib::Client client("127.0.0.1", system.engine_port(engine));
     auto const      answer = client.Get("/control/generated");
-    int             cut = 0;
+    int             interrupted = 0;
     for (auto const& entry : json::parse(answer->body))
     {
-        cut += entry["resume_from"].get<int>() + entry["output_tokens"].get<int>() <
-                       tokens_asked
-                   ? 1
-                   : 0;
+        interrupted +=
+            entry["resume_from"].get<int>() + entry["output_tokens"].get<int>() <
+                    requested_tokens
+                ? 1
+                : 0;
     }
-    return cut;
+    return interrupted;
 }
 
 std::size_t distinct_ids(std::vector<received_order> const& orders)
@@ -102,16 +103,16 @@
 {
     fleet          system(two_data_centres());
     steady_callers callers(system);
-    ASSERT_TRUE(eventually([&] { return callers.whole >= 6; }));
+    ASSERT_TRUE(eventually([&] { return callers.complete >= 6; }));
     ASSERT_TRUE(apply_lines(system, one_prefill_engine, "second"));
     EXPECT_TRUE(eventually([&] { return both_are_prefill(system); }, 60'000));
-    auto const so_far = callers.whole.load();
-    EXPECT_TRUE(eventually([&] { return callers.whole >= so_far + 6; }));
+    auto const so_far = callers.complete.load();
+    EXPECT_TRUE(eventually([&] { return callers.complete >= so_far + 6; }));
     callers.stop();
-    EXPECT_EQ(callers.broken, 0);
+    EXPECT_EQ(callers.failed, 0);
     for (int engine = 0; engine < 2; ++engine)
     {
-        EXPECT_EQ(cut_streams(system, engine), 0);
+        EXPECT_EQ(interrupted_streams(system, engine), 0);
         EXPECT_EQ(distinct_ids(orders_at(system, system.engine_port(engine), "order")),
                   1U);
     }
--- a/tests/failure/orders_vms_test.cpp
+++ b/tests/failure/orders_vms_test.cpp
@@ -33,12 +33,12 @@
 }
 
 /// VMs bought so far, by the current list of the platform.
-std::size_t bought(fleet const& system)
+std::size_t bought_vms(fleet const& system)
 {
     std::size_t count = 0;
-    for (auto const& machine : true_machines(system))
+    for (auto const& vm : current_vms(system))
     {
-        count += machine.value("order_id", "").empty() ? 0 : 1;
+        count += vm.value("order_id", "").empty() ? 0 : 1;
     }
     return count;
 }
@@ -60,14 +60,14 @@
 /// bought.
 void expect_three_and_no_more(fleet const& system)
 {
-    EXPECT_TRUE(eventually([&] { return bought(system) >= 3; }, 60'000));
+    EXPECT_TRUE(eventually([&] { return bought_vms(system) >= 3; }, 60'000));
     std::this_thread::sleep_for(std::chrono::milliseconds(2'500));
-    EXPECT_EQ(bought(system), 3U);
+    EXPECT_EQ(bought_vms(system), 3U);
     auto const orders = orders_at(system, system.platform_port(), "vm_order");
     EXPECT_TRUE(one_holder_at_a_time(orders));
 }
 
-int other_than(int node)
+int another_node(int node)
 {
     return node == 0 ? 1 : 0;
 }
@@ -121,7 +121,7 @@
     auto const killed = std::stoi(from.substr(5));
     system.node(killed).signal(SIGKILL);
     expect_three_and_no_more(system);
-    EXPECT_NE(wait_for_orderer(system, other_than(killed)), killed);
+    EXPECT_NE(wait_for_orderer(system, another_node(killed)), killed);
 }
 
 /// The orderer appends an intent and is paused for longer than its lease. The successor
@@ -135,14 +135,14 @@
     auto const from = intents(system)[0]["from"].get<std::string>();
     auto const paused = std::stoi(from.substr(5));
     system.node(paused).signal(SIGSTOP);
-    auto const asked = other_than(paused);
+    auto const asked = another_node(paused);
     ASSERT_TRUE(eventually(
         [&]
         {
             auto const holder = holder_of(system, "orderer", asked);
             return holder >= 0 && holder != paused;
         }));
-    EXPECT_TRUE(eventually([&] { return bought(system) >= 3; }, 60'000));
+    EXPECT_TRUE(eventually([&] { return bought_vms(system) >= 3; }, 60'000));
     system.node(paused).signal(SIGCONT);
     expect_three_and_no_more(system);
 }
@@ -166,30 +166,30 @@
     system.fault(system.platform_port(),
                  {{"kind", "drop_answer"}, {"path", "/vms/order"}, {"count", 1}});
     steady_callers callers(system);
-    ASSERT_TRUE(eventually([&] { return callers.whole >= 6; }));
+    ASSERT_TRUE(eventually([&] { return callers.complete >= 6; }));
     ASSERT_TRUE(apply_lines(
         system, "[groups]\n; asked for by the tests\nwording = least=1 most=1\n",
         "second"));
     std::set<std::string> gone;
-    auto const            look = [&]
+    auto const            check_leaving = [&]
     {
-        for (auto const& machine : true_machines(system))
+        for (auto const& vm : current_vms(system))
         {
-            bool const leaving = machine["state"] == "leaving";
-            if (leaving && gone.insert(machine["id"]).second)
+            bool const leaving = vm["state"] == "leaving";
+            if (leaving && gone.insert(vm["id"]).second)
             {
-                EXPECT_EQ(running_at(machine["port"]), 0) << machine["id"];
+                EXPECT_EQ(running_at(vm["port"]), 0) << vm["id"];
             }
         }
         return gone.size() >= 3;
     };
-    EXPECT_TRUE(eventually(look, 60'000));
+    EXPECT_TRUE(eventually(check_leaving, 60'000));
     std::this_thread::sleep_for(std::chrono::milliseconds(2'000));
-    look();
+    check_leaving();
     callers.stop();
     EXPECT_EQ(gone, (std::set<std::string>{"engine-3", "engine-4", "engine-5"}));
-    EXPECT_EQ(callers.broken, 0);
-    EXPECT_EQ(bought(system), 0U);
+    EXPECT_EQ(callers.failed, 0);
+    EXPECT_EQ(bought_vms(system), 0U);
 }
 
 /// The log is unreachable for longer than a lease while VMs are missing. No node holds
@@ -236,14 +236,14 @@
     ASSERT_TRUE(eventually([&] { return !intents(system).empty(); }));
     auto const cut = intents(system)[0]["from"].get<std::string>();
     system.fault(system.platform_port(), {{"kind", "outage"}, {"from", cut}});
-    auto const asked = other_than(std::stoi(cut.substr(5)));
+    auto const asked = another_node(std::stoi(cut.substr(5)));
     EXPECT_TRUE(eventually(
         [&]
         {
             auto const holder = holder_of(system, "orderer", asked);
             return holder >= 0 && "node-" + std::to_string(holder) != cut;
         }));
-    EXPECT_TRUE(eventually([&] { return bought(system) >= 3; }, 60'000));
+    EXPECT_TRUE(eventually([&] { return bought_vms(system) >= 3; }, 60'000));
     system.fault(system.platform_port(), {{"kind", "none"}});
     expect_three_and_no_more(system);
 }
@@ -258,7 +258,7 @@
         system.platform_port(),
         {{"kind", "late"}, {"text", "\"intent\""}, {"for_ms", 4'000}, {"count", 3}});
     ASSERT_TRUE(apply_lines(system, two_wording_servers, "second"));
-    EXPECT_TRUE(eventually([&] { return bought(system) >= 3; }, 60'000));
+    EXPECT_TRUE(eventually([&] { return bought_vms(system) >= 3; }, 60'000));
     std::this_thread::sleep_for(
         std::chrono::milliseconds(4'000)); // all late appends took effect
     expect_three_and_no_more(system);
--- a/tests/failure/poison_test.cpp
+++ b/tests/failure/poison_test.cpp
@@ -20,18 +20,18 @@
 /// progress there. This fails if nothing records what was in flight on a crashed engine.
 TEST(poison, takes_two_engines_at_most_and_the_rest_finish_elsewhere)
 {
-    constexpr int                engines = 6;
-    fleet                        system({.engines = engines,
-                                         .node_settings = {{"deadline_ms", "60000"}},
-                                         .engine_settings = {{"poison", "cursed"}, {"decode_us", "20000"}}});
-    std::vector<streamed_answer> bystanders(12);
-    std::vector<std::thread>     callers;
-    for (std::size_t index = 0; index < bystanders.size(); ++index)
+    constexpr int                  engines = 6;
+    fleet                          system({.engines = engines,
+                                           .node_settings = {{"deadline_ms", "60000"}},
+                                           .engine_settings = {{"poison", "cursed"}, {"decode_us", "20000"}}});
+    std::vector<streamed_response> other_responses(12);
+    std::vector<std::thread>       callers;
+    for (std::size_t index = 0; index < other_responses.size(); ++index)
     {
         callers.emplace_back(
             [&, index]
             {
-                bystanders[index] =
+                other_responses[index] =
                     ask(system, static_cast<int>(index % 3),
                         {.tokens = 40, .prompt = "line " + std::to_string(index)});
             });
@@ -44,9 +44,9 @@
             {
                 running += system.received(system.engine_port(engine), "generate").size();
             }
-            return running == bystanders.size();
+            return running == other_responses.size();
         }));
-    std::vector<streamed_answer> sent;
+    std::vector<streamed_response> sent;
     for (int turn = 0; turn < 6; ++turn)
     {
         sent.push_back(
@@ -56,18 +56,18 @@
     {
         caller.join();
     }
-    int fallen = 0;
+    int crashed = 0;
     for (int engine = 0; engine < engines; ++engine)
     {
-        fallen += system.engine(engine).running() ? 0 : 1;
+        crashed += system.engine(engine).running() ? 0 : 1;
     }
-    EXPECT_EQ(fallen, 2);
+    EXPECT_EQ(crashed, 2);
     for (auto const& answer : sent)
     {
         EXPECT_EQ(answer.error["type"], "poison") << answer.body;
         EXPECT_EQ(answer.error["fate"], "final");
     }
-    for (auto const& answer : bystanders)
+    for (auto const& answer : other_responses)
     {
         EXPECT_TRUE(answer.done) << answer.body.substr(0, 300);
         EXPECT_EQ(answer.token_count, 40);
@@ -93,34 +93,34 @@
         }));
     auto const answer = ask(system, 2, {.tokens = 8, .prompt = "the cursed bundle"});
     EXPECT_EQ(answer.error["type"], "poison");
-    int fallen = 0;
+    int crashed = 0;
     for (int engine = 0; engine < 4; ++engine)
     {
-        fallen += system.engine(engine).running() ? 0 : 1;
+        crashed += system.engine(engine).running() ? 0 : 1;
     }
-    EXPECT_EQ(fallen, 2);
+    EXPECT_EQ(crashed, 2);
 }
 
 /// The load that a burst of requests puts on the engines.
 struct burst_cost
 {
     int         admitted = 0;
-    int         whole = 0;
+    int         complete = 0;
     std::size_t received = 0; // by engines that still run
     int         slowest_ms = 0;
 };
 
 burst_cost send_burst(fleet& system, int engines, int count)
 {
-    std::vector<streamed_answer> answers(static_cast<std::size_t>(count));
-    std::vector<std::thread>     callers;
-    constexpr int                lanes = 6;
-    for (int lane = 0; lane < lanes; ++lane)
+    std::vector<streamed_response> answers(static_cast<std::size_t>(count));
+    std::vector<std::thread>       callers;
+    constexpr int                  threads = 6;
+    for (int thread_index = 0; thread_index < threads; ++thread_index)
     {
         callers.emplace_back(
-            [&, lane]
+            [&, thread_index]
             {
-                for (int index = lane; index < count; index += lanes)
+                for (int index = thread_index; index < count; index += threads)
                 {
                     answers[static_cast<std::size_t>(index)] =
                         ask(system, index % 3,
@@ -135,7 +135,7 @@
     burst_cost cost{.admitted = count};
     for (auto const& answer : answers)
     {
-        cost.whole += answer.done ? 1 : 0;
+        cost.complete += answer.done ? 1 : 0;
         cost.slowest_ms = std::max(cost.slowest_ms, static_cast<int>(answer.duration_ms));
         EXPECT_TRUE(answer.done || !answer.error.empty()) << answer.body;
         EXPECT_TRUE(answer.done || answer.error["retry_after"].get<int>() > 0);
@@ -149,7 +149,7 @@
 
 void print(char const* name, burst_cost const& cost)
 {
-    std::cout << name << ": " << cost.admitted << " admitted, " << cost.whole
+    std::cout << name << ": " << cost.admitted << " admitted, " << cost.complete
               << " whole, " << cost.received << " tries at live engines, slowest "
               << cost.slowest_ms << " ms\n";
 }
@@ -186,7 +186,7 @@
     system.engine(1).signal(SIGKILL);
     auto const killed = send_burst(system, 4, count);
     print("half the engines dead, cumulative at the others", killed);
-    EXPECT_GE(killed.whole, count * 9 / 10);
+    EXPECT_GE(killed.complete, count * 9 / 10);
 }
 
 } // namespace
--- a/tests/failure/usage_audit_test.cpp
+++ b/tests/failure/usage_audit_test.cpp
@@ -59,10 +59,10 @@
     }
 
     /// Ids of the requests whose caller received the complete response.
-    std::set<std::string> whole()
+    std::set<std::string> complete()
     {
         std::lock_guard const lock(mutex_);
-        return whole_;
+        return complete_;
     }
 
 private:
@@ -86,22 +86,22 @@
                      {"stream", streamed}}
                     .dump(),
                 "application/json");
-            bool const whole =
+            bool const complete =
                 answer && answer->status == 200 &&
                 (!streamed || answer->body.find("data: [DONE]") != std::string::npos);
-            if (whole)
+            if (complete)
             {
                 std::lock_guard const lock(mutex_);
-                whole_.insert(answer->get_header_value("X-Request-Id"));
+                complete_.insert(answer->get_header_value("X-Request-Id"));
             }
-            std::this_thread::sleep_for(millis{whole ? 5 : 50});
+            std::this_thread::sleep_for(millis{complete ? 5 : 50});
         }
     }
 
     fleet&                   system_;
     std::atomic<bool>        stopping_{false};
     std::mutex               mutex_;
-    std::set<std::string>    whole_;
+    std::set<std::string>    complete_;
     std::vector<std::thread> threads_;
 };
 
@@ -208,8 +208,8 @@
     totals                             result;
     for (auto const& report : system.received(system.platform_port(), "usage"))
     {
-        auto const [place, first] = windows.emplace(report["path"], report["body"]);
-        EXPECT_EQ(place->second, report["body"]) << report["path"];
+        auto const [position, first] = windows.emplace(report["path"], report["body"]);
+        EXPECT_EQ(position->second, report["body"]) << report["path"];
         if (!first)
         {
             continue;
@@ -228,31 +228,31 @@
 /// Checks that every complete response is billed once and to the token, every interrupted
 /// one at most once and never for more than was generated, and that exactly this was
 /// reported.
-void audit(fleet const& system, int engines, std::set<std::string> const& whole)
+void audit(fleet const& system, int engines, std::set<std::string> const& complete)
 {
-    ASSERT_GT(whole.size(), 20U);
+    ASSERT_GT(complete.size(), 20U);
     EXPECT_TRUE(eventually(
         [&]
         {
             auto const bills = logged(system);
-            return std::all_of(whole.begin(), whole.end(),
+            return std::all_of(complete.begin(), complete.end(),
                                [&](auto const& id) { return bills.count(id) == 1; });
         }));
     EXPECT_TRUE(
         eventually([&] { return reported(system) == totals_of(logged(system)); }));
     auto const bills = logged(system);
-    auto const truth = generated(system, engines);
-    for (auto const& id : whole)
+    auto const generated_bills = generated(system, engines);
+    for (auto const& id : complete)
     {
         ASSERT_EQ(bills.count(id), 1U) << id;
-        ASSERT_EQ(bills.find(id)->second, truth.at(id)) << id;
+        ASSERT_EQ(bills.find(id)->second, generated_bills.at(id)) << id;
     }
     for (auto const& [id, bill] : bills)
     {
         ASSERT_EQ(bills.count(id), 1U) << id;
-        ASSERT_EQ(truth.count(id), 1U) << id;
-        EXPECT_LE(bill.output_tokens, truth.at(id).output_tokens);
-        EXPECT_EQ(bill.workspace, truth.at(id).workspace);
+        ASSERT_EQ(generated_bills.count(id), 1U) << id;
+        EXPECT_LE(bill.output_tokens, generated_bills.at(id).output_tokens);
+        EXPECT_EQ(bill.workspace, generated_bills.at(id).workspace);
     }
 }
 
@@ -270,7 +270,7 @@
     return count;
 }
 
-fleet_options audited(std::string const& flush_ms)
+fleet_options audited_fleet(std::string const& flush_ms)
 {
     fleet_options options;
     options.node_settings = {{"usage_flush_ms", flush_ms}, {"custody_hold_ms", "800"}};
@@ -298,13 +298,13 @@
 /// Usage that exists only there would be missing from the report.
 TEST(usage_audit, a_killed_node_loses_no_usage)
 {
-    fleet       system(audited("1500"));
+    fleet       system(audited_fleet("1500"));
     caller_load load(system);
     pause(2500);
     system.node(1).signal(SIGKILL);
     pause(1000);
     load.stop();
-    audit(system, 2, load.whole());
+    audit(system, 2, load.complete());
     EXPECT_GT(appended_for_others(system), 0U);
 }
 
@@ -312,7 +312,7 @@
 /// appends again. A repeated delta must not count as new usage.
 TEST(usage_audit, lost_answers_and_late_appends_bill_nothing_twice)
 {
-    fleet       system(audited("100"));
+    fleet       system(audited_fleet("100"));
     caller_load load(system);
     pause(500);
     // Longer than the nodes wait for their own record, so that they append it again.
@@ -322,7 +322,7 @@
     system.fault(system.platform_port(), {{"kind", "drop_answer"}, {"for_ms", 3000}});
     pause(3500);
     load.stop();
-    audit(system, 2, load.whole());
+    audit(system, 2, load.complete());
     EXPECT_GT(repeated_deltas(system), 0U);
 }
 
@@ -331,7 +331,7 @@
 /// which fails if a reporter keeps figures of its own.
 TEST(usage_audit, a_reporter_paused_past_its_lease_reports_nothing_else)
 {
-    fleet system(audited("100"));
+    fleet system(audited_fleet("100"));
     ASSERT_TRUE(eventually([&] { return !reporter_of(system, 0).empty(); }));
     auto const  first = reporter_of(system, 0);
     auto const  paused = index_of(first);
@@ -344,7 +344,7 @@
     system.node(paused).signal(SIGCONT);
     pause(1000);
     load.stop();
-    audit(system, 2, load.whole());
+    audit(system, 2, load.complete());
     std::set<std::string> senders;
     for (auto const& report : system.received(system.platform_port(), "usage"))
     {
@@ -366,18 +366,18 @@
 /// after the outage.
 TEST(usage_audit, a_node_killed_while_the_log_is_out_loses_no_usage)
 {
-    fleet       system(audited("100"));
+    fleet       system(audited_fleet("100"));
     caller_load load(system);
     pause(800);
     system.fault(system.platform_port(), {{"kind", "outage"}, {"for_ms", 3000}});
     pause(1200);
-    auto const served = load.whole().size();
+    auto const served = load.complete().size();
     system.node(2).signal(SIGKILL);
     pause(800);
-    EXPECT_GT(load.whole().size(), served); // calls are served without the log
+    EXPECT_GT(load.complete().size(), served); // calls are served without the log
     pause(1200);
     load.stop();
-    audit(system, 2, load.whole());
+    audit(system, 2, load.complete());
     EXPECT_GT(appended_for_others(system), 0U);
 }
 
--- a/tests/failure/whole_answer_test.cpp
+++ b/tests/failure/whole_answer_test.cpp
@@ -97,7 +97,7 @@
 {
     fleet                system({.engine_settings = {{"decode_us", "100000"}}});
     caller_options const options{.tokens = tokens};
-    streamed_answer      answer;
+    streamed_response    answer;
     std::thread          caller([&] { answer = ask(system, 0, options); });
     EXPECT_TRUE(eventually(
         [&]
--- a/tests/golden/sessions_test.cpp
+++ b/tests/golden/sessions_test.cpp
@@ -114,18 +114,18 @@
 };
 
 /// Appends to the platform's log that contain records of calls.
-json of_requests(fleet const& system)
+json call_records(fleet const& system)
 {
-    json kept = json::array();
+    json records = json::array();
     for (auto const& entry : system.received(system.platform_port()))
     {
         auto const body = json::parse(entry["body"].get<std::string>(), nullptr, false);
         if (entry["kind"] == "append" && body.is_object() && body.contains("calls"))
         {
-            kept.push_back(entry);
+            records.push_back(entry);
         }
     }
-    return kept;
+    return records;
 }
 
 void compare(std::string const& name, std::string const& text)
@@ -191,7 +191,7 @@
     session.caller("order through node-0", order(system, 0));
     session.caller("the same through node-1", order(system, 1));
     session.received("service-0", system.received(system.service_port(0), "call"));
-    session.received("platform", of_requests(system));
+    session.received("platform", call_records(system));
     compare("order_sent_twice", session.text());
 }
 
@@ -203,7 +203,7 @@
     session.caller("order, the service's answer is lost", order(system, 0));
     session.caller("the same again", order(system, 0));
     session.received("service-0", system.received(system.service_port(0), "call"));
-    session.received("platform", of_requests(system));
+    session.received("platform", call_records(system));
     compare("order_answer_lost", session.text());
 }
 
--- a/tests/support/caller.cpp
+++ b/tests/support/caller.cpp
@@ -14,7 +14,7 @@
 
 namespace
 {
-void read_events(streamed_answer& answer)
+void read_events(streamed_response& answer)
 {
     std::istringstream lines(answer.body);
     for (std::string line; std::getline(lines, line);)
@@ -44,7 +44,7 @@
     }
 }
 
-void read_object(streamed_answer& answer)
+void read_object(streamed_response& answer)
 {
     auto const object = json::parse(answer.body, nullptr, false);
     if (object.is_object() && object.contains("error"))
@@ -65,16 +65,16 @@
     return {{"Authorization", "Bearer " + system.key(workspace)}};
 }
 
-streamed_answer ask(fleet const& system, int node, caller_options const& options)
+streamed_response ask(fleet const& system, int node, caller_options const& options)
 {
-    auto const      begun = boot_clock::now();
-    streamed_answer answer;
-    httplib::Client client("127.0.0.1", system.node_port(node));
+    auto const        begun = boot_clock::now();
+    streamed_response answer;
+    httplib::Client   client("127.0.0.1", system.node_port(node));
     client.set_read_timeout(60);
-    std::thread leaver;
+    std::thread disconnect;
     if (options.leave_after_ms > 0)
     {
-        leaver = std::thread(
+        disconnect = std::thread(
             [&]
             {
                 std::this_thread::sleep_for(millis{options.leave_after_ms});
@@ -105,9 +105,9 @@
         return true;
     };
     answer.complete = static_cast<bool>(client.send(request));
-    if (leaver.joinable())
+    if (disconnect.joinable())
     {
-        leaver.join();
+        disconnect.join();
     }
     answer.duration_ms =
         std::chrono::duration_cast<millis>(boot_clock::now() - begun).count();
--- a/tests/support/caller.hpp
+++ b/tests/support/caller.hpp
@@ -1,6 +1,6 @@
 // A caller of the language model API, and the record of its requests at the stand-ins.
 //
-// Index: 1 caller_options, 2 streamed_answer, 3 ask, 4 generated
+// Index: 1 caller_options, 2 streamed_response, 3 ask, 4 generated
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_CALLER_HPP
 #define MARIGOLDCRANK_TESTS_SUPPORT_CALLER_HPP
 
@@ -24,7 +24,7 @@
 };
 
 /// What the caller received.
-struct streamed_answer
+struct streamed_response
 {
     int            status = 0;
     bool           complete = false; // the HTTP transfer ended properly
@@ -38,7 +38,7 @@
 };
 
 /// Sends a chat completion request to entry VM `node` as workspace north.
-streamed_answer ask(fleet const& system, int node, caller_options const& options);
+streamed_response ask(fleet const& system, int node, caller_options const& options);
 
 httplib::Headers bearer(fleet const& system, std::string const& workspace = "north");
 
--- a/tests/support/model_caller.cpp
+++ b/tests/support/model_caller.cpp
@@ -21,7 +21,7 @@
     return json::array({{{"role", "user"}, {"content", question.prompt}}});
 }
 
-void take_event(std::string_view data, model_answer& answer)
+void take_event(std::string_view data, model_response& answer)
 {
     if (data == "[DONE]")
     {
@@ -49,7 +49,7 @@
     }
 }
 
-void take_body(std::string const& text, model_answer& answer)
+void take_body(std::string const& text, model_response& answer)
 {
     auto const body = json::parse(text, nullptr, false);
     if (!body.is_object())
@@ -67,19 +67,19 @@
 }
 } // namespace
 
-bool model_answer::whole(model_question const& question) const
+bool model_response::whole(model_question const& question) const
 {
     return status == 200 && ended && text == expected &&
            stated_tokens == static_cast<std::uint64_t>(question.tokens);
 }
 
-model_answer call_model(fleet const& system, int node, model_question const& question,
-                        std::function<void()> const& on_bytes)
+model_response call_model(fleet const& system, int node, model_question const& question,
+                          std::function<void()> const& on_bytes)
 {
     auto const      port = question.port != 0 ? question.port : system.node_port(node);
     httplib::Client client("127.0.0.1", port);
     client.set_read_timeout(question.timeout_s);
-    model_answer answer;
+    model_response answer;
     answer.expected = expected_text(question);
     std::string      rest;
     sse_reader       reader;
@@ -143,7 +143,7 @@
         threads_.emplace_back(
             [this, &system, nodes, question, index]
             {
-                for (auto turn = static_cast<std::size_t>(index); !over_; ++turn)
+                for (auto turn = static_cast<std::size_t>(index); !stopping_; ++turn)
                 {
                     // Each prompt differs: equal prompts in flight on two servers that
                     // crash would become one suspect of being poison.
@@ -163,9 +163,9 @@
     stop();
 }
 
-std::vector<model_answer> caller_group::stop()
+std::vector<model_response> caller_group::stop()
 {
-    over_ = true;
+    stopping_ = true;
     for (auto& thread : threads_)
     {
         thread.join();
--- a/tests/support/model_caller.hpp
+++ b/tests/support/model_caller.hpp
@@ -1,6 +1,6 @@
 // A caller that checks streamed model responses to the token, for failure tests.
 //
-// Index: 1 model_answer, 2 call_model, 3 caller_group, 4 counts
+// Index: 1 model_response, 2 call_model, 3 caller_group, 4 counts
 #ifndef MARIGOLDCRANK_TESTS_SUPPORT_MODEL_CALLER_HPP
 #define MARIGOLDCRANK_TESTS_SUPPORT_MODEL_CALLER_HPP
 
@@ -29,7 +29,7 @@
 };
 
 /// What the caller received.
-struct model_answer
+struct model_response
 {
     int           status = 0; // 0: no response
     std::string   text;       // tokens in the order of arrival
@@ -44,7 +44,7 @@
 };
 
 /// Calls a node; `on_bytes` runs whenever a part of the response arrives.
-model_answer call_model(
+model_response call_model(
     fleet const& system, int node, model_question const& question = {},
     std::function<void()> const& on_bytes = [] {});
 
@@ -60,16 +60,16 @@
     ~caller_group();
 
     /// Stops the callers and returns all responses.
-    std::vector<model_answer> stop();
+    std::vector<model_response> stop();
 
     /// Number of responses so far.
     std::size_t answered() const;
 
 private:
-    std::atomic<bool>         over_{false};
-    mutable std::mutex        mutex_;
-    std::vector<model_answer> answers_;
-    std::vector<std::thread>  threads_;
+    std::atomic<bool>           stopping_{false};
+    mutable std::mutex          mutex_;
+    std::vector<model_response> answers_;
+    std::vector<std::thread>    threads_;
 };
 
 /// Output tokens in the usage reports that the platform received, each window once, for
--- a/tests/support/node_process.cpp
+++ b/tests/support/node_process.cpp
@@ -436,30 +436,30 @@
 
 void fleet::publish_machines(json const& changes) const
 {
-    json machines = json::array();
+    json vms = json::array();
     auto add = [&](std::string const& prefix, std::string const& group,
                    std::vector<int> const& ports)
     {
         for (std::size_t index = 0; index < ports.size(); ++index)
         {
             auto const id = prefix + std::to_string(index);
-            json       machine = {{"id", id},
-                                  {"host", "127.0.0.1"},
-                                  {"port", ports[index]},
-                                  {"data_centre", data_centre_of(static_cast<int>(index))},
-                                  {"group", group},
-                                  {"cheap", false},
-                                  {"state", "live"}};
-            machine.update(changes.value(id, json::object()));
-            machines.push_back(machine);
+            json       vm = {{"id", id},
+                             {"host", "127.0.0.1"},
+                             {"port", ports[index]},
+                             {"data_centre", data_centre_of(static_cast<int>(index))},
+                             {"group", group},
+                             {"cheap", false},
+                             {"state", "live"}};
+            vm.update(changes.value(id, json::object()));
+            vms.push_back(vm);
         }
     };
     add("engine-", "wording", engine_addresses_);
     add("service-", "ordering", service_addresses_);
     httplib::Client client("127.0.0.1", platform_port_);
-    require(static_cast<bool>(
-                client.Post("/control/vms", machines.dump(), "application/json")),
-            "the stand-in of the platform did not take the list of VMs");
+    require(
+        static_cast<bool>(client.Post("/control/vms", vms.dump(), "application/json")),
+        "the stand-in of the platform did not take the list of VMs");
 }
 
 json fleet::apply(int node, std::string const& rules, std::uint64_t base_revision,
--- a/tests/support/order_checks.cpp
+++ b/tests/support/order_checks.cpp
@@ -80,8 +80,8 @@
     std::uint64_t                        highest = 0;
     for (auto const& order : orders)
     {
-        auto const [place, added] = senders.emplace(order.fence, order.from);
-        if (place->second != order.from || order.fence < highest)
+        auto const [position, added] = senders.emplace(order.fence, order.from);
+        if (position->second != order.from || order.fence < highest)
         {
             return false;
         }
@@ -95,7 +95,7 @@
     return get(port, "/state");
 }
 
-json true_machines(fleet const& system)
+json current_vms(fleet const& system)
 {
     return get(system.platform_port(), "/control/vms");
 }
--- a/tests/support/order_checks.hpp
+++ b/tests/support/order_checks.hpp
@@ -48,7 +48,7 @@
 nlohmann::json engine_state_at(int port);
 
 /// The current list of VMs of the platform, without its lag.
-nlohmann::json true_machines(fleet const& system);
+nlohmann::json current_vms(fleet const& system);
 
 } // namespace marigoldcrank::tests
 
--- a/tests/support/steady_callers.hpp
+++ b/tests/support/steady_callers.hpp
@@ -22,7 +22,7 @@
 class steady_callers
 {
 public:
-    static constexpr int tokens_asked = 150; // of each response
+    static constexpr int requested_tokens = 150; // of each response
 
     explicit steady_callers(fleet const& system)
     {
@@ -47,8 +47,8 @@
         threads_.clear();
     }
 
-    std::atomic<int> whole{0};
-    std::atomic<int> broken{0};
+    std::atomic<int> complete{0};
+    std::atomic<int> failed{0};
 
 private:
     void run(fleet const& system, int node)
@@ -57,7 +57,7 @@
         json const body = {{"model", "wording"},
                            {"messages", json::array({{{"role", "user"},
                                                       {"content", "a line for Noor"}}})},
-                           {"max_tokens", tokens_asked},
+                           {"max_tokens", requested_tokens},
                            {"stream", true}};
         while (!stopping_)
         {
@@ -67,12 +67,12 @@
                 client.Post("/v1/chat/completions",
                             {{"Authorization", "Bearer " + system.key("north")}},
                             body.dump(), "application/json");
-            bool const complete =
+            bool const is_complete =
                 answer && answer->status == 200 &&
                 answer->body.find("data: [DONE]") != std::string::npos &&
                 answer->body.find("\"completion_tokens\":" +
-                                  std::to_string(tokens_asked)) != std::string::npos;
-            ++(complete ? whole : broken);
+                                  std::to_string(requested_tokens)) != std::string::npos;
+            ++(is_complete ? complete : failed);
         }
     }
 
--- a/tests/support/tcp_relay.cpp
+++ b/tests/support/tcp_relay.cpp
@@ -18,12 +18,12 @@
 
 namespace
 {
-constexpr int turn_ms = 2;
+constexpr int poll_ms = 2;
 constexpr int backlog = 512;
 constexpr int buffer_bytes =
     16 * 1024; // small, so that a stalled reader causes backpressure
-constexpr std::size_t head_limit = 4096;
-constexpr std::size_t most_halves = 100; // silent connections closed at one end
+constexpr std::size_t max_head_bytes = 4096;
+constexpr std::size_t max_halves = 100; // silent connections closed at one end
 
 // 1. Sockets
 
@@ -86,7 +86,7 @@
 void tcp_relay::cut_off(std::set<std::string> senders)
 {
     std::lock_guard const lock(mutex_);
-    cut_senders_ = std::move(senders);
+    silent_senders_ = std::move(senders);
 }
 
 void tcp_relay::silence_all(bool on)
@@ -150,13 +150,14 @@
                 items.push_back({own.target.socket, wanted, 0});
             }
         }
-        ::poll(items.data(), items.size(), turn_ms);
+        ::poll(items.data(), items.size(), poll_ms);
         std::lock_guard const lock(mutex_);
         std::size_t           index = 1;
         for (auto& own : connections_)
         {
             own.one_way = own.one_way || all_one_way_;
-            own.silent = own.silent || all_silent_ || cut_senders_.count(own.sender) != 0;
+            own.silent =
+                own.silent || all_silent_ || silent_senders_.count(own.sender) != 0;
             serve(own, own.caller, own.target, items[index].revents);
             serve(own, own.target, own.caller, items[index + 1].revents);
             index += 2;
@@ -177,7 +178,7 @@
     {
         bool const half = own->caller.socket < 0 || own->target.socket < 0;
         halves += half ? 1 : 0;
-        if (half && halves > most_halves)
+        if (half && halves > max_halves)
         {
             drop(own->caller);
             drop(own->target);
@@ -216,16 +217,16 @@
         }
         return;
     }
-    bool const writable_backlog = to.waiting.size() > 64;
+    bool const is_backlogged = to.waiting.size() > 64;
     if ((events & (POLLIN | POLLHUP | POLLERR)) != 0 && from.socket >= 0 &&
-        !writable_backlog)
+        !is_backlogged)
     {
         std::array<char, buffer_bytes> buffer;
         auto const size = ::recv(from.socket, buffer.data(), buffer.size(), MSG_DONTWAIT);
         std::string bytes(buffer.data(), size > 0 ? static_cast<std::size_t>(size) : 0);
         if (&from == &own.caller)
         {
-            learn_sender(own, bytes);
+            parse_sender(own, bytes);
         }
         bool const lost = own.one_way && &from == &own.caller && size > 0;
         // An empty piece marks the end of the stream.
@@ -233,7 +234,7 @@
         {
             to.waiting.push_back({clock::now() + delay_, std::move(bytes)});
         }
-        own.silent = own.silent || cut_senders_.count(own.sender) != 0;
+        own.silent = own.silent || silent_senders_.count(own.sender) != 0;
     }
     if (!own.silent)
     {
@@ -268,9 +269,9 @@
     }
 }
 
-void tcp_relay::learn_sender(connection& own, std::string const& bytes) const
+void tcp_relay::parse_sender(connection& own, std::string const& bytes) const
 {
-    if (!own.sender.empty() || own.head.size() > head_limit)
+    if (!own.sender.empty() || own.head.size() > max_head_bytes)
     {
         return;
     }
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -41,8 +41,8 @@
     /// Makes all connections silent, new ones too, while this is on; they stay silent.
     void silence_all(bool on);
 
-    /// Connections that are open or opened while this is on drop everything from the
-    /// caller to the target for good, and relay everything the other way.
+    /// Connections that are open or opened while this is on drop all data from the caller
+    /// to the target for good, and relay everything the other way.
     void cut_one_way(bool on);
 
     /// Closes all open connections; closes new ones at once while this is on.
@@ -83,14 +83,14 @@
     void accept_one();
     void serve(connection& own, half& from, half& to, short events);
     void flush(connection& own, half& to);
-    void learn_sender(connection& own, std::string const& bytes) const;
+    void parse_sender(connection& own, std::string const& bytes) const;
     void drop(half& end) const;
 
     int                       listener_ = -1;
     int                       target_port_;
     mutable std::mutex        mutex_;
     std::list<connection>     connections_;
-    std::set<std::string>     cut_senders_;
+    std::set<std::string>     silent_senders_;
     bool                      all_silent_ = false;
     bool                      all_one_way_ = false;
     bool                      cut_ = false;
