--- a/tests/failure/at_most_once_test.cpp
+++ b/tests/failure/at_most_once_test.cpp
@@ -1,6 +1,6 @@
 // A call that may not be repeated runs at most once, and a fate of `not_run` is true,
 // wherever the call is interrupted. The calls that the stand-in of the service received
-// are compared.
+// show what ran.
 #include "support/caller.hpp"
 #include "support/node_process.hpp"
 
@@ -262,7 +262,7 @@
 
 /// A caller repeats an order that is not idempotent, through any entry VM, until it
 /// receives a final response. The order must not run twice, and after `not_run` it must
-/// not have run at all. Each cut point interrupts the call at another step.
+/// not have run at all. Each interruption hits the call at another step.
 class at_most_once : public testing::TestWithParam<interruption>
 {
 };
--- a/tests/failure/configuration_test.cpp
+++ b/tests/failure/configuration_test.cpp
@@ -1,7 +1,7 @@
 // Configuration under faults: a change is in force on all nodes within seconds and is
 // never reverted.
 //
-// Index: 1 helpers, 2 spread, 3 races and lost answers, 4 never back, 5 retention
+// Index: 1 helpers, 2 spread, 3 races and lost responses, 4 no reverts, 5 retention
 #include "domain/boot_clock.hpp"
 #include "ledger/ledger.hpp"
 #include "support/node_process.hpp"
@@ -115,7 +115,7 @@
     EXPECT_EQ(next_offset_of(system, 2), 1U); // nothing was read from the log
 }
 
-// 3. Races and lost answers
+// 3. Races and lost responses
 
 /// Two operators must not both be told that their rules are in force. Both read the same
 /// revision and apply a change, while appends take effect late and responses are lost;
@@ -212,7 +212,7 @@
     std::filesystem::remove(output);
 }
 
-// 4. Never back
+// 4. No reverts
 
 /// Replaced rules must not come into force again. A node is paused, the rules change, and
 /// the node resumes and sends its old rules to its peers; nodes restart; the old change
--- a/tests/failure/usage_audit_test.cpp
+++ b/tests/failure/usage_audit_test.cpp
@@ -2,7 +2,7 @@
 // compared with those that the stand-in of the platform received, and must be equal to
 // the token.
 //
-// Index: 1 load, 2 audit, 3 stories
+// Index: 1 load, 2 audit, 3 tests
 #include "domain/boot_clock.hpp"
 #include "ledger/ledger.hpp"
 #include "support/node_process.hpp"
@@ -292,7 +292,7 @@
     return std::stoi(holder.substr(std::string{"node-"}.size()));
 }
 
-// 3. Stories
+// 3. Tests
 
 /// A node serves responses and is killed before its next append, so its memory is lost.
 /// Usage that exists only there would be missing from the report.
--- a/tests/support/node_process.hpp
+++ b/tests/support/node_process.hpp
@@ -24,18 +24,16 @@
 /// The processes of a fleet and their settings.
 struct fleet_options
 {
-    int         nodes = 3;
-    int         engines = 2;
-    int         services = 1;
-    std::string rules; // ""  the default rules
-    std::map<std::string, std::string>
-        node_settings; // key to value; override short timings
+    int                                nodes = 3;
+    int                                engines = 2;
+    int                                services = 1;
+    std::string                        rules;           // appended to the default rules
+    std::map<std::string, std::string> node_settings;   // override the short timings
     std::map<std::string, std::string> engine_settings; // key to value
     std::map<std::string, std::string> platform_settings;
     bool                               apply_rules = true;
     bool                               keep_output = false; // see fleet::outputs
-    bool relayed = false; // puts a tcp_relay before the platform and each engine,
-                          // service, peer
+    bool relayed = false; // a tcp_relay before the platform, each engine, service, peer
 };
 
 /// Platform, engines, services and nodes, each a process. Node i runs in data centre
--- a/tests/support/tcp_relay.cpp
+++ b/tests/support/tcp_relay.cpp
@@ -18,10 +18,9 @@
 
 namespace
 {
-constexpr int poll_ms = 2;
-constexpr int backlog = 512;
-constexpr int buffer_bytes =
-    16 * 1024; // small, so that a stalled reader causes backpressure
+constexpr int         poll_ms = 2;
+constexpr int         backlog = 512;
+constexpr int         buffer_bytes = 16 * 1024; // small, so that a stalled reader blocks
 constexpr std::size_t max_head_bytes = 4096;
 constexpr std::size_t max_halves = 100; // silent connections closed at one end
 
