--- a/tests/failure/at_most_once_test.cpp
+++ b/tests/failure/at_most_once_test.cpp
@@ -1,5 +1,6 @@
-// A call that may not be repeated runs at most once, and `not_run` is true, wherever the
-// call is cut. The truth is what the service's stand-in received.
+// A call that may not be repeated runs at most once, and a fate of `not_run` is true,
+// wherever the call is interrupted. The calls that the stand-in of the service received
+// show what ran.
 #include "support/caller.hpp"
 #include "support/node_process.hpp"
 
@@ -14,10 +15,10 @@
 
 using nlohmann::json;
 
-/// What the caller saw of one try.
-struct try_outcome
+/// What the caller received for one attempt.
+struct order_result
 {
-    int         status = 0; // 0: the connection broke
+    int         status = 0; // 0: the connection closed early
     std::string fate;
     std::string type;
     std::string request_id;
@@ -26,8 +27,8 @@
     std::string retry_after;
 };
 
-try_outcome order(fleet const& system, int node, std::string const& key,
-                  std::string const& body = "{\"copies\":30}")
+order_result order(fleet const& system, int node, std::string const& key,
+                   std::string const& body = "{\"copies\":30}")
 {
     httplib::Client client("127.0.0.1", system.node_port(node));
     client.set_read_timeout(30);
@@ -59,7 +60,7 @@
     return system.received(system.service_port(0), "call");
 }
 
-/// True once the platform was asked to append a record of this kind by node 0.
+/// True once node 0 has asked the platform to append a record of this kind.
 bool appended(fleet const& system, std::string const& field)
 {
     for (auto const& entry : system.received(system.platform_port(), "append"))
@@ -92,48 +93,48 @@
     system.fault(system.service_port(0), {{"kind", "none"}});
 }
 
-/// Sends the order through node 0 and kills it when `reached` holds.
-try_outcome order_and_kill(fleet& system, std::function<bool()> const& reached)
+/// Sends the order through node 0 and kills the node as soon as `reached` holds.
+order_result order_and_kill(fleet& system, std::function<bool()> const& reached)
 {
-    try_outcome seen;
-    std::thread caller([&] { seen = order(system, 0, "order-1"); });
+    order_result seen;
+    std::thread  caller([&] { seen = order(system, 0, "order-1"); });
     EXPECT_TRUE(eventually(reached));
     system.node(0).signal(SIGKILL);
     caller.join();
-    EXPECT_EQ(seen.status, 0) << "answered before the cut";
+    EXPECT_EQ(seen.status, 0) << "a response arrived before the node was killed";
     return seen;
 }
 
-/// One place where a call may be cut, and how its story ends.
-struct cut_point
+/// One point at which a call is interrupted, and the expected final outcome.
+struct interruption
 {
     char const* name;
-    bool        answered; // the last try gets an answer; else the outcome stays unknown
-    std::vector<try_outcome> (*bring_about)(fleet&);
+    bool        answered; // the last attempt gets a response; else the outcome is unknown
+    std::vector<order_result> (*interrupt)(fleet&);
 };
 
-std::vector<try_outcome> killed_before_intent(fleet& system)
+std::vector<order_result> killed_before_intent(fleet& system)
 {
     fault_log(system, "outage");
     return {order_and_kill(system, [&] { return appended(system, "intents"); })};
 }
 
-std::vector<try_outcome> killed_after_intent(fleet& system)
+std::vector<order_result> killed_after_intent(fleet& system)
 {
-    // The append takes effect a moment after the entry VM was killed.
+    // The append takes effect shortly after the entry VM was killed.
     fault_log(system, "late", 600);
     auto seen = order_and_kill(system, [&] { return appended(system, "intents"); });
     std::this_thread::sleep_for(std::chrono::milliseconds(700));
     return {seen};
 }
 
-std::vector<try_outcome> killed_after_dispatch(fleet& system)
+std::vector<order_result> killed_after_dispatch(fleet& system)
 {
     fault_service(system, "silent", 60'000);
     return {order_and_kill(system, [&] { return runs(system).size() == 1; })};
 }
 
-std::vector<try_outcome> killed_before_answer(fleet& system)
+std::vector<order_result> killed_before_answer(fleet& system)
 {
     fault_service(system, "slow", 400);
     return {order_and_kill(system,
@@ -141,17 +142,17 @@
                            {
                                if (!runs(system).empty())
                                {
-                                   // The result takes effect; the entry VM can't know.
+                                   // The append takes effect, but its response is lost.
                                    fault_log(system, "drop_answer");
                                }
                                return appended(system, "results");
                            })};
 }
 
-std::vector<try_outcome> log_outage(fleet& system)
+std::vector<order_result> log_outage(fleet& system)
 {
     fault_log(system, "outage", 0, "");
-    std::vector<try_outcome> seen;
+    std::vector<order_result> seen;
     for (int node = 0; node < 3; ++node)
     {
         seen.push_back(order(system, node, "order-1"));
@@ -162,13 +163,13 @@
     return seen;
 }
 
-std::vector<try_outcome> lost_append_answer(fleet& system)
+std::vector<order_result> lost_append_answer(fleet& system)
 {
     fault_log(system, "drop_answer", 300);
     return {order(system, 0, "order-1")};
 }
 
-std::vector<try_outcome> late_append(fleet& system)
+std::vector<order_result> late_append(fleet& system)
 {
     fault_log(system, "late", 2500);
     auto seen = order(system, 0, "order-1");
@@ -176,7 +177,7 @@
     return {seen, order(system, 1, "order-1")};
 }
 
-std::vector<try_outcome> late_append_then_wait(fleet& system)
+std::vector<order_result> late_append_then_wait(fleet& system)
 {
     fault_log(system, "late", 2000);
     auto seen = order(system, 0, "order-1");
@@ -185,7 +186,7 @@
     return {seen};
 }
 
-std::vector<try_outcome> service_freezes_after_effect(fleet& system)
+std::vector<order_result> service_freezes_after_effect(fleet& system)
 {
     fault_service(system, "silent", 60'000);
     auto seen = order(system, 0, "order-1");
@@ -193,7 +194,7 @@
     return {seen};
 }
 
-std::vector<try_outcome> service_drops_answer(fleet& system)
+std::vector<order_result> service_drops_answer(fleet& system)
 {
     fault_service(system, "drop_answer", 0);
     auto seen = order(system, 0, "order-1");
@@ -201,7 +202,7 @@
     return {seen};
 }
 
-std::vector<try_outcome> service_down(fleet& system)
+std::vector<order_result> service_down(fleet& system)
 {
     system.service(0).signal(SIGKILL);
     system.service(0).wait(5000);
@@ -211,25 +212,25 @@
     return {seen};
 }
 
-std::vector<try_outcome> log_out_after_dispatch(fleet& system)
+std::vector<order_result> log_out_after_dispatch(fleet& system)
 {
     fault_service(system, "slow", 400);
-    try_outcome seen;
-    std::thread caller([&] { seen = order(system, 0, "order-1"); });
+    order_result seen;
+    std::thread  caller([&] { seen = order(system, 0, "order-1"); });
     EXPECT_TRUE(eventually([&] { return runs(system).size() == 1; }));
     fault_log(system, "outage", 0, "");
     caller.join();
     EXPECT_EQ(seen.status, 200);
-    std::vector<try_outcome> all{seen, order(system, 0, "order-1")};
+    std::vector<order_result> all{seen, order(system, 0, "order-1")};
     all.push_back(order(system, 1, "order-1"));
     return all;
 }
 
-std::vector<try_outcome> three_entries_at_once(fleet& system)
+std::vector<order_result> three_entries_at_once(fleet& system)
 {
     fault_service(system, "slow", 300);
-    std::vector<try_outcome> seen(3);
-    std::vector<std::thread> callers;
+    std::vector<order_result> seen(3);
+    std::vector<std::thread>  callers;
     for (int node = 0; node < 3; ++node)
     {
         callers.emplace_back(
@@ -243,7 +244,7 @@
     return seen;
 }
 
-constexpr cut_point cut_points[] = {
+constexpr interruption interruptions[] = {
     {"killed_before_intent", true, killed_before_intent},
     {"killed_after_intent", false, killed_after_intent},
     {"killed_after_dispatch", false, killed_after_dispatch},
@@ -259,19 +260,18 @@
     {"three_entries_at_once", true, three_entries_at_once},
 };
 
-/// Story: a school's print order hangs; its office sends it again, through whatever entry
-/// VM the balancer picks, until it gets an answer that is final. The school must not pay
-/// twice, and where it was told `not_run`, nothing may have run. Causes: one for each cut
-/// point.
-class at_most_once : public testing::TestWithParam<cut_point>
+/// A caller repeats an order that is not idempotent, through any entry VM, until it
+/// receives a final response. The order must not run twice, and after `not_run` it must
+/// not have run at all. Each interruption hits the call at another step.
+class at_most_once : public testing::TestWithParam<interruption>
 {
 };
 
 TEST_P(at_most_once, runs_once_at_most_and_not_run_is_true)
 {
     fleet      system;
-    auto const cut = GetParam();
-    auto       seen = cut.bring_about(system);
+    auto const point = GetParam();
+    auto       seen = point.interrupt(system);
     end_faults(system);
     int        next = 0;
     bool const settled = eventually(
@@ -281,7 +281,7 @@
             return seen.back().status == 200 || seen.back().type == "owner_lost";
         });
     EXPECT_TRUE(settled) << seen.back().type;
-    EXPECT_EQ(seen.back().status == 200, cut.answered) << seen.back().type;
+    EXPECT_EQ(seen.back().status == 200, point.answered) << seen.back().type;
     auto const received = runs(system);
     EXPECT_LE(received.size(), 1U) << received.dump(1);
     for (auto const& each : seen)
@@ -294,11 +294,11 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(cuts, at_most_once, testing::ValuesIn(cut_points),
-                         [](auto const& cut) { return std::string{cut.param.name}; });
+INSTANTIATE_TEST_SUITE_P(cuts, at_most_once, testing::ValuesIn(interruptions),
+                         [](auto const& point) { return std::string{point.param.name}; });
 
-/// Story: an office's program uses one key for two different orders; the second would be
-/// answered with the first one's print run.
+/// A caller uses one idempotency key for two different orders. The second must not be
+/// answered with the result of the first.
 TEST(idempotency_key, another_body_under_the_same_key_is_refused)
 {
     fleet system;
@@ -310,7 +310,7 @@
     EXPECT_EQ(runs(system).size(), 1U);
 }
 
-/// Story: a key of one workspace meets the same key of another one.
+/// Two workspaces use the same idempotency key for different calls.
 TEST(idempotency_key, belongs_to_its_workspace)
 {
     fleet system;
@@ -325,8 +325,8 @@
     EXPECT_EQ(runs(system).size(), 2U);
 }
 
-/// Story: a service's answer is larger than what is kept; the second try must not run the
-/// call again, and must not pass half an answer for the whole.
+/// The response of a service is larger than what is stored. The second attempt must
+/// neither run the call again nor return a part of the response as the whole.
 TEST(idempotency_key, keeps_only_the_status_of_a_large_answer)
 {
     fleet      system({.node_settings = {{"kept_body_bytes", "8"}}});
@@ -339,8 +339,9 @@
     EXPECT_EQ(runs(system).size(), 1U);
 }
 
-/// Story: without a key nothing can tell a repeat; the service loses its answer and the
-/// call runs again by itself. Cause: the HTTP library or the path sends it twice.
+/// Without an idempotency key a repeat cannot be recognised. When the response of the
+/// service is lost, neither the HTTP library nor the relay may send the call a second
+/// time.
 TEST(no_idempotency_key, is_sent_once_and_its_fate_told)
 {
     fleet system({.services = 2});
@@ -355,9 +356,9 @@
               1U);
 }
 
-/// Story: a repeatable call runs on one server, whose answer is lost, and is tried on a
-/// second one that is down. The caller is told `not_run`. Cause: the last attempt
-/// decides.
+/// A repeatable call runs on one server, whose response is lost, and is attempted on a
+/// second server that is down. The fate must not be `not_run`, which it would be if only
+/// the last attempt decided it.
 TEST(repeatable_call, an_earlier_attempt_makes_not_run_untrue)
 {
     fleet system({.services = 2});
--- a/tests/support/order_checks.cpp
+++ b/tests/support/order_checks.cpp
@@ -1,4 +1,4 @@
-// What tests of orders ask the stand-ins.
+// Queries of the stand-ins for tests of orders.
 #include "support/order_checks.hpp"
 
 #include <httplib.h>
@@ -42,7 +42,7 @@
     {
         return -1;
     }
-    auto const holder = duties[duty]["holder"].get<std::string>(); // node-N/incarnation
+    auto const holder = duties[duty]["holder"].get<std::string>(); // "node-N/incarnation"
     return std::stoi(holder.substr(5, holder.find('/') - 5));
 }
 
@@ -80,8 +80,8 @@
     std::uint64_t                        highest = 0;
     for (auto const& order : orders)
     {
-        auto const [place, added] = senders.emplace(order.fence, order.from);
-        if (place->second != order.from || order.fence < highest)
+        auto const [position, added] = senders.emplace(order.fence, order.from);
+        if (position->second != order.from || order.fence < highest)
         {
             return false;
         }
@@ -95,7 +95,7 @@
     return get(port, "/state");
 }
 
-json true_machines(fleet const& system)
+json current_vms(fleet const& system)
 {
     return get(system.platform_port(), "/control/vms");
 }
