--- a/bench/entry_soak/entry_soak.cpp
+++ b/bench/entry_soak/entry_soak.cpp
@@ -9,8 +9,8 @@
 // Index: 1 soak_options, 2 run_seed, 3 main
 #include "platform/support/entry_cluster.hpp"
 #include "soak_callers.hpp"
+#include "soak_fault_schedule.hpp"
 #include "soak_servers.hpp"
-#include "soak_troubles.hpp"
 #include "support/eventually.hpp"
 
 #include <getopt.h>
--- a/bench/entry_soak/soak_callers.hpp
+++ b/bench/entry_soak/soak_callers.hpp
@@ -5,7 +5,7 @@
 #define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_CALLERS_HPP
 
 #include "platform/support/entry_cluster.hpp"
-#include "soak_ledger.hpp"
+#include "soak_checker.hpp"
 
 #include <atomic>
 #include <functional>
--- a/bench/entry_soak/soak_ledger.cpp
+++ b/bench/entry_soak/soak_checker.cpp
@@ -1,5 +1,5 @@
 // Checks of single calls and of usage reports.
-#include "soak_ledger.hpp"
+#include "soak_checker.hpp"
 
 #include "soak_servers.hpp"
 
--- a/bench/entry_soak/soak_ledger.hpp
+++ b/bench/entry_soak/soak_checker.hpp
@@ -1,8 +1,8 @@
 // Checks of the entry soak: compares what servers and callers see, and lists violations.
 //
 // Index: 1 call_class, 2 soak_checker
-#ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_LEDGER_HPP
-#define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_LEDGER_HPP
+#ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_CHECKER_HPP
+#define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_CHECKER_HPP
 
 #include "platform/support/raw_caller.hpp"
 #include "platform/support/wire_server.hpp"
--- a/bench/entry_soak/soak_troubles.cpp
+++ b/bench/entry_soak/soak_fault_schedule.cpp
@@ -1,5 +1,5 @@
 // Kinds of faults and their schedule.
-#include "soak_troubles.hpp"
+#include "soak_fault_schedule.hpp"
 
 #include <csignal>
 #include <iostream>
--- a/bench/entry_soak/soak_troubles.hpp
+++ b/bench/entry_soak/soak_fault_schedule.hpp
@@ -2,11 +2,11 @@
 // series and may overlap.
 //
 // Index: soak_fault_schedule
-#ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_TROUBLES_HPP
-#define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_TROUBLES_HPP
+#ifndef MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_FAULT_SCHEDULE_HPP
+#define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_FAULT_SCHEDULE_HPP
 
 #include "platform/support/entry_cluster.hpp"
-#include "soak_ledger.hpp"
+#include "soak_checker.hpp"
 #include "soak_servers.hpp"
 
 #include <array>
--- a/bench/entry_soak/soak_servers.hpp
+++ b/bench/entry_soak/soak_servers.hpp
@@ -5,7 +5,7 @@
 #define MARIGOLDCRANK_BENCH_ENTRY_SOAK_SOAK_SERVERS_HPP
 
 #include "platform/support/server_standin.hpp"
-#include "soak_ledger.hpp"
+#include "soak_checker.hpp"
 
 #include <atomic>
 #include <string>
