--- a/bench/bench_policy.cpp
+++ b/bench/bench_policy.cpp
@@ -25,7 +25,7 @@
     std::int64_t                        spent = 0;
     std::int64_t                        worst = 0;
     std::int64_t                        changes = 0;
-    std::int64_t                        once_on_cheap = 0;
+    std::int64_t                        non_repeatable_on_cheap = 0;
     std::map<std::string, std::int64_t> flood_worst;
 };
 
@@ -40,7 +40,7 @@
     sums.worst += ratios.worst;
     sums.spent += ratios.spent;
     sums.changes = std::max(sums.changes, ratios.changes);
-    sums.once_on_cheap += runs[4].result.once_on_cheap;
+    sums.non_repeatable_on_cheap += runs[4].result.non_repeatable_on_cheap;
     if (input.shift.to_us > 0)
     {
         ++sums.shifting;
@@ -73,7 +73,7 @@
     std::printf("%s_role_changes_most %lld count\n", user.c_str(),
                 static_cast<long long>(sums.changes));
     std::printf("%s_once_on_cheap %lld count\n", user.c_str(),
-                static_cast<long long>(sums.once_on_cheap));
+                static_cast<long long>(sums.non_repeatable_on_cheap));
 }
 } // namespace
 
--- a/bench/model/quota_replay.cpp
+++ b/bench/model/quota_replay.cpp
@@ -42,18 +42,18 @@
     std::lognormal_distribution<>      size(-0.5, 1.0); // mean 1
     std::vector<simulated_call>        calls;
     constexpr double                   second_ms = 1000;
-    double const usual = load.usual * static_cast<double>(load.quota.rate) /
-                         static_cast<double>(load.mean_units) / second_ms;
+    double const usual_load = load.usual_load * static_cast<double>(load.quota.rate) /
+                              static_cast<double>(load.mean_units) / second_ms;
     double at = 0;
     while (at < static_cast<double>(load.length.count()))
     {
         millis const now{static_cast<std::int64_t>(at)};
         bool const   peak = within(now, load.peak_begin, load.peak_end);
-        at += apart(random) / (usual * (peak ? load.peak : 1));
+        at += apart(random) / (usual_load * (peak ? load.peak : 1));
         auto const units = static_cast<std::int64_t>(
             size(random) * static_cast<double>(load.mean_units));
         calls.push_back({millis{static_cast<std::int64_t>(at)}, any_vm(random),
-                         std::clamp<std::int64_t>(units, 1, load.most_units)});
+                         std::clamp<std::int64_t>(units, 1, load.max_units)});
     }
     return calls;
 }
@@ -145,7 +145,7 @@
 class simulated_owners
 {
 public:
-    simulated_owners(quota_load const& load, quota_trouble const& faults,
+    simulated_owners(quota_load const& load, quota_faults const& faults,
                      std::uint64_t seed)
         : load_(load), faults_(faults), random_(seed),
           owners_(owner_count, quota_owner{replayed_terms}), share_(owner_count),
@@ -198,7 +198,7 @@
 
     bool partitioned(int left, int right, millis at) const
     {
-        return within(at, faults_.cut_begin, faults_.cut_end) &&
+        return within(at, faults_.partition_begin, faults_.partition_end) &&
                in_partition(left) != in_partition(right);
     }
 
@@ -207,7 +207,7 @@
         bool const powered_off = faults_.restart.count() > 0 &&
                                  within(at, faults_.restart, faults_.restart + power_off);
         bool const lost =
-            owner == 0 && faults_.home_lost.count() > 0 && at >= faults_.home_lost;
+            owner == 0 && faults_.owner_lost.count() > 0 && at >= faults_.owner_lost;
         return !powered_off && !lost;
     }
 
@@ -240,7 +240,8 @@
     {
         bool const own = call.vm == owner;
         messages += own ? 0 : 1;
-        bool const lost = !own && std::bernoulli_distribution(faults_.lost_asks)(random_);
+        bool const lost =
+            !own && std::bernoulli_distribution(faults_.lost_query_share)(random_);
         if (lost || !is_running(owner, call.at) || partitioned(call.vm, owner, call.at))
         {
             wait_ms += static_cast<double>(query_timeout.count());
@@ -308,7 +309,7 @@
     }
 
     quota_load                         load_;
-    quota_trouble                      faults_;
+    quota_faults                       faults_;
     std::mt19937_64                    random_;
     std::vector<quota_owner>           owners_;
     std::vector<fleet_share>           share_;
@@ -321,8 +322,8 @@
 
 } // namespace
 
-quota_figures play_homes(quota_load const& load, quota_trouble const& faults,
-                         std::uint64_t seed)
+quota_figures simulate_quota(quota_load const& load, quota_faults const& faults,
+                             std::uint64_t seed)
 {
     simulated_owners fleet(load, faults, seed);
     quota_audit      audit(load);
--- a/bench/model/quota_replay.hpp
+++ b/bench/model/quota_replay.hpp
@@ -1,6 +1,6 @@
 // Simulates the calls of a workspace over a fleet of VMs that enforces its quota.
 //
-// Index: 1 quota_load, 2 quota_trouble, 3 quota_figures, 4 play_homes
+// Index: 1 quota_load, 2 quota_faults, 3 quota_figures, 4 simulate_quota
 #ifndef MARIGOLDCRANK_BENCH_QUOTA_REPLAY_HPP
 #define MARIGOLDCRANK_BENCH_QUOTA_REPLAY_HPP
 
@@ -18,29 +18,30 @@
 struct quota_load
 {
     workspace_quota quota{.rate = 36'000, .burst = 36'000, .tokens = true};
-    double          usual = 0.55; // 0.55   share of the quota's rate that is requested
-    double          peak = 12;    // 12     factor on it during the peak
-    millis          peak_begin{15'000};  // 15000  ms
-    millis          peak_end{24'000};    // 24000  ms
-    millis          length{40'000};      // 40000  ms
-    std::int64_t    mean_units = 4'000;  // 4000   mean units of a call
-    std::int64_t    most_units = 70'000; // 70000  maximum units of a call
+    double       usual_load = 0.55;  // 0.55   share of the quota's rate that is requested
+    double       peak = 12;          // 12     factor on it during the peak
+    millis       peak_begin{15'000}; // 15000  ms
+    millis       peak_end{24'000};   // 24000  ms
+    millis       length{40'000};     // 40000  ms
+    std::int64_t mean_units = 4'000; // 4000   mean units of a call
+    std::int64_t max_units = 70'000; // 70000  maximum units of a call
 
     bool operator==(quota_load const&) const = default;
 };
 
 /// Size of the fleet and the faults that are injected.
-struct quota_trouble
+struct quota_faults
 {
-    int    vms = 90;      // 90   VMs
-    millis round_trip{4}; // 4    ms; round trip between two VMs
-    double lost_asks = 0; // 0    share of queries that get no reply
-    millis home_lost{0};  // 0    ms; time at which the owner loses power; 0: never
-    millis cut_begin{0};  // 0    ms; a network partition separates a third of the VMs
-    millis cut_end{0};    // 0    ms
-    millis restart{0};    // 0    ms; time at which all VMs lose power for 2 s; 0: never
+    int    vms = 90;             // 90   VMs
+    millis round_trip{4};        // 4    ms; round trip between two VMs
+    double lost_query_share = 0; // 0    share of queries that get no reply
+    millis owner_lost{0};        // 0    ms; time at which the owner loses power; 0: never
+    millis partition_begin{
+        0};                  // 0    ms; a network partition separates a third of the VMs
+    millis partition_end{0}; // 0    ms
+    millis restart{0}; // 0    ms; time at which all VMs lose power for 2 s; 0: never
 
-    bool operator==(quota_trouble const&) const = default;
+    bool operator==(quota_faults const&) const = default;
 };
 
 struct quota_figures
@@ -58,8 +59,8 @@
 inline constexpr quota_terms replayed_terms{millis{8000}, 100, 140'000};
 
 /// Simulates VMs that query the workspace's owner before each call runs.
-quota_figures play_homes(quota_load const& load, quota_trouble const& faults,
-                         std::uint64_t seed);
+quota_figures simulate_quota(quota_load const& load, quota_faults const& faults,
+                             std::uint64_t seed);
 
 } // namespace marigoldcrank
 
--- a/bench/model/replay.hpp
+++ b/bench/model/replay.hpp
@@ -96,7 +96,7 @@
     std::int64_t                  tokens = 0; // prompt and output tokens served
     std::int64_t                  cheap_tokens = 0;
     std::int64_t                  non_repeatable_done = 0;
-    std::int64_t                  once_on_cheap = 0;
+    std::int64_t                  non_repeatable_on_cheap = 0;
     std::uint64_t                 decisions = 0; // hash of all decisions in their order
     std::vector<workspace_result> workspaces;
     std::vector<replay_bucket>    buckets;
--- a/bench/model/replay_run.cpp
+++ b/bench/model/replay_run.cpp
@@ -219,7 +219,7 @@
                           .excluded = {}};
     auto const decision = choose_engine(views, wanted, options_.speed, options_.route);
     hash_decision(decision.engine);
-    result_.once_on_cheap += views[decision.engine].cheap;
+    result_.non_repeatable_on_cheap += views[decision.engine].cheap;
     schedule(service_call_us, event_kind::service_end, call.id);
 }
 
--- a/bench/model/replay_table.cpp
+++ b/bench/model/replay_table.cpp
@@ -242,8 +242,9 @@
             << ") | " << result.role_changes << " | "
             << ratio(result.full_price_ms * input.scale, ms_per_hour) << " | "
             << ratio(result.cheap_ms * input.scale, ms_per_hour) << " | "
-            << ratio(result.cheap_tokens, result.tokens) << " | " << result.once_on_cheap
-            << " | " << result.crashes << " | " << causes(result) << " |\n";
+            << ratio(result.cheap_tokens, result.tokens) << " | "
+            << result.non_repeatable_on_cheap << " | " << result.crashes << " | "
+            << causes(result) << " |\n";
     }
     out << "\n";
     return out.str();
--- a/tests/property/quota_property_test.cpp
+++ b/tests/property/quota_property_test.cpp
@@ -18,8 +18,8 @@
         std::vector<std::int64_t>{36'000, 100'000, 400'000, 1'200'000});
     load.quota.burst = load.quota.rate * *rc::gen::inRange(1, 4);
     load.mean_units = std::max<std::int64_t>(load.quota.rate / 60, 1000);
-    load.most_units = 36'000;
-    load.usual = 0.1 * *rc::gen::inRange(1, 11);
+    load.max_units = 36'000;
+    load.usual_load = 0.1 * *rc::gen::inRange(1, 11);
     load.peak = *rc::gen::inRange(1, 13);
     load.peak_begin = millis{*rc::gen::inRange(1000, 9000)};
     load.peak_end = load.peak_begin + millis{*rc::gen::inRange(100, 9000)};
@@ -27,18 +27,18 @@
     return load;
 }
 
-quota_trouble any_fleet()
+quota_faults any_fleet()
 {
-    quota_trouble trouble;
+    quota_faults trouble;
     trouble.vms = *rc::gen::inRange(6, 60);
     trouble.round_trip = millis{*rc::gen::inRange(0, 60)};
     return trouble;
 }
 
-void expect_bound(quota_load const& load, quota_trouble const& trouble)
+void expect_bound(quota_load const& load, quota_faults const& trouble)
 {
     auto const seed = static_cast<std::uint64_t>(*rc::gen::inRange(0, 1'000'000));
-    RC_ASSERT(play_homes(load, trouble, seed).overrun <= 1.0);
+    RC_ASSERT(simulate_quota(load, trouble, seed).overrun <= 1.0);
 }
 
 RC_GTEST_PROP(quota_property, no_window_exceeds_the_tolerance, ())
@@ -50,7 +50,7 @@
 RC_GTEST_PROP(quota_property, bound_holds_after_the_loss_of_the_owner, ())
 {
     auto trouble = any_fleet();
-    trouble.home_lost = millis{*rc::gen::inRange(1000, 18'000)};
+    trouble.owner_lost = millis{*rc::gen::inRange(1000, 18'000)};
     expect_bound(any_load(), trouble);
 }
 
@@ -58,8 +58,9 @@
 RC_GTEST_PROP(quota_property, bound_holds_through_a_network_partition, ())
 {
     auto trouble = any_fleet();
-    trouble.cut_begin = millis{*rc::gen::inRange(1000, 15'000)};
-    trouble.cut_end = trouble.cut_begin + millis{*rc::gen::inRange(100, 9000)};
+    trouble.partition_begin = millis{*rc::gen::inRange(1000, 15'000)};
+    trouble.partition_end =
+        trouble.partition_begin + millis{*rc::gen::inRange(100, 9000)};
     expect_bound(any_load(), trouble);
 }
 
@@ -75,7 +76,7 @@
 RC_GTEST_PROP(quota_property, bound_holds_when_queries_are_lost, ())
 {
     auto trouble = any_fleet();
-    trouble.lost_asks = 0.01 * *rc::gen::inRange(0, 4);
+    trouble.lost_query_share = 0.01 * *rc::gen::inRange(0, 4);
     expect_bound(any_load(), trouble);
 }
 
--- a/tests/replay/quota_replay_test.cpp
+++ b/tests/replay/quota_replay_test.cpp
@@ -16,7 +16,7 @@
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
-        auto const figures = play_homes(load, {.vms = 90}, seed);
+        auto const figures = simulate_quota(load, {.vms = 90}, seed);
         EXPECT_LE(figures.overrun, 1.0) << "seed " << seed;
         EXPECT_GE(figures.granted, 0.98) << "seed " << seed;
     }
@@ -29,7 +29,7 @@
     quota_load load;
     load.quota = {
         .rate = 248'000, .burst = 248'000, .tokens = true, .default_units = 200};
-    load.usual = 0.55;
+    load.usual_load = 0.55;
     load.peak = 2.55;
     load.peak_end = load.peak_begin + millis{8000};
     expect_quota_enforced(load);
@@ -40,7 +40,7 @@
 {
     quota_load load;
     load.quota = {.rate = 60'780, .burst = 218'805, .tokens = true, .default_units = 200};
-    load.usual = 1.4;
+    load.usual_load = 1.4;
     load.peak = 1;
     expect_quota_enforced(load);
 }
@@ -66,7 +66,7 @@
         .rate = 400'000, .burst = 400'000, .tokens = true, .default_units = 200};
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
-        EXPECT_EQ(play_homes(load, {.vms = 90}, seed).refused, 0) << "seed " << seed;
+        EXPECT_EQ(simulate_quota(load, {.vms = 90}, seed).refused, 0) << "seed " << seed;
     }
 }
 
--- a/tests/replay/trace_replay_test.cpp
+++ b/tests/replay/trace_replay_test.cpp
@@ -73,7 +73,7 @@
             {"changes", own_policy.role_changes},
             {"crashes", own_policy.crashes},
             {"poison", refused == own_policy.refused.end() ? 0 : refused->second},
-            {"once_on_cheap", own_policy.once_on_cheap}};
+            {"once_on_cheap", own_policy.non_repeatable_on_cheap}};
 }
 
 bool satisfies(std::int64_t value, std::string const& relation, std::int64_t bound)
