--- a/bench/entry_soak/soak_fault_schedule.cpp
+++ b/bench/entry_soak/soak_fault_schedule.cpp
@@ -65,10 +65,10 @@
       [](tests::tcp_relay&) {
       }},
      {"store-one-way", "server-one-way",
-      [](tests::tcp_relay& relay) { relay.cut_one_way(true); },
+      [](tests::tcp_relay& relay) { relay.drop_to_target(true); },
       [](tests::tcp_relay& relay)
       {
-          relay.cut_one_way(false);
+          relay.drop_to_target(false);
       }},
      {"store-cut", "server-cut", [](tests::tcp_relay& relay) { relay.cut(true); },
       [](tests::tcp_relay& relay)
--- a/bench/soak/soak_faults.cpp
+++ b/bench/soak/soak_faults.cpp
@@ -229,9 +229,9 @@
     }
     auto cut = [&](int index, tests::tcp_relay& relay)
     {
-        relay.cut_off(index % data_centres == data_centre ? outside : inside);
+        relay.silence_senders(index % data_centres == data_centre ? outside : inside);
     };
-    system_.platform_relay().cut_off(inside);
+    system_.platform_relay().silence_senders(inside);
     for (int engine = 0; engine < engine_count; ++engine)
     {
         cut(engine, system_.engine_relay(engine));
@@ -331,7 +331,7 @@
     return {"VM leaving and replaced", true,
             [this, engine, notice]
             {
-                system_.publish_machines({{engine_name(engine), {{"state", "leaving"}}}});
+                system_.publish_vms({{engine_name(engine), {{"state", "leaving"}}}});
                 std::this_thread::sleep_for(notice);
                 system_.engine(engine).signal(SIGKILL);
                 system_.engine(engine).wait(stop_timeout_ms);
@@ -339,7 +339,7 @@
             [this, engine]
             {
                 start_engine(engine);
-                system_.publish_machines();
+                system_.publish_vms();
             }};
 }
 
--- a/bench/soak/soak_load.cpp
+++ b/bench/soak/soak_load.cpp
@@ -114,13 +114,13 @@
 /// long prompts and a response that is short for a check and long for a report.
 void soak_load::send_model_call(random& source, bool north)
 {
-    call_record           record{.mark = "request " + std::to_string(++next_) + " ",
-                                 .workspace = north ? "north" : "south"};
-    tests::model_question question{.workspace = record.workspace,
-                                   .prompt = record.mark,
-                                   .tokens = 30,
-                                   .stream = source() % 4 != 0,
-                                   .timeout_s = call_timeout_s};
+    call_record         record{.mark = "request " + std::to_string(++next_) + " ",
+                               .workspace = north ? "north" : "south"};
+    tests::chat_request question{.workspace = record.workspace,
+                                 .prompt = record.mark,
+                                 .tokens = 30,
+                                 .stream = source() % 4 != 0,
+                                 .timeout_s = call_timeout_s};
     if (!north)
     {
         question.prompt += std::string(2000 + source() % 4000, 'x');
--- a/tests/failure/cuts_test.cpp
+++ b/tests/failure/cuts_test.cpp
@@ -19,18 +19,18 @@
     std::set<std::string> const none;
     std::set<std::string> const inside{"node-0"};
     std::set<std::string> const outside{"node-1", "node-2"};
-    system.platform_relay().cut_off(on ? inside : none);
-    system.engine_relay(0).cut_off(on ? outside : none);
-    system.peer_relay(0).cut_off(on ? outside : none);
+    system.platform_relay().silence_senders(on ? inside : none);
+    system.engine_relay(0).silence_senders(on ? outside : none);
+    system.peer_relay(0).silence_senders(on ? outside : none);
     for (int other : {1, 2})
     {
-        system.engine_relay(other).cut_off(on ? inside : none);
-        system.peer_relay(other).cut_off(on ? inside : none);
+        system.engine_relay(other).silence_senders(on ? inside : none);
+        system.peer_relay(other).silence_senders(on ? inside : none);
     }
 }
 
 std::uint64_t whole_tokens(std::vector<model_response> const& answers,
-                           model_question const&              question)
+                           chat_request const&                question)
 {
     std::uint64_t tokens = 0;
     for (auto const& answer : answers)
@@ -50,9 +50,9 @@
     options.engines = 3;
     options.services = 0;
     options.relayed = true;
-    fleet                system(options);
-    model_question const question{.tokens = 40};
-    caller_group         load(system, {0, 1, 2}, 9, question);
+    fleet              system(options);
+    chat_request const question{.tokens = 40};
+    caller_group       load(system, {0, 1, 2}, 9, question);
     ASSERT_TRUE(eventually([&] { return load.answered() >= 9; }));
     partition_first_data_centre(system, true);
     auto const isolated = [&]
@@ -84,7 +84,7 @@
     system.fault(system.platform_port(), {{"kind", "outage"}});
     ASSERT_TRUE(eventually(
         [&] { return system.received(system.platform_port(), "append").size() > 3; }));
-    model_question const question;
+    chat_request const question;
     for (int index = 0; index < 30; ++index)
     {
         EXPECT_TRUE(call_model(system, index % 3, question).whole(question));
@@ -96,10 +96,10 @@
 // reported twice.
 TEST(cuts, a_paused_entry_vm_harms_no_other_and_goes_on)
 {
-    fleet                system;
-    model_question const question{.tokens = 200};
-    caller_group         paused(system, {0}, 4, question);
-    caller_group         others(system, {1, 2}, 8, question);
+    fleet              system;
+    chat_request const question{.tokens = 200};
+    caller_group       paused(system, {0}, 4, question);
+    caller_group       others(system, {1, 2}, 8, question);
     ASSERT_TRUE(eventually([&] { return paused.answered() >= 4; }));
     system.node(0).signal(SIGSTOP);
     auto const answered = others.answered();
@@ -116,9 +116,9 @@
 // paused engine sends after it wakes up reaches no caller.
 TEST(cuts, a_paused_engine_costs_a_pause_and_no_token)
 {
-    fleet                system;
-    model_question const question{.tokens = 300};
-    caller_group         load(system, {0, 1, 2}, 9, question);
+    fleet              system;
+    chat_request const question{.tokens = 300};
+    caller_group       load(system, {0, 1, 2}, 9, question);
     ASSERT_TRUE(eventually([&] { return load.answered() >= 9; }));
     system.engine(0).signal(SIGSTOP);
     auto answered = load.answered();
@@ -134,10 +134,10 @@
 // other VMs are not affected.
 TEST(cuts, a_killed_entry_vm_harms_no_other)
 {
-    fleet                system;
-    model_question const question{.tokens = 200};
-    caller_group         killed(system, {0}, 8, question);
-    caller_group         others(system, {1, 2}, 8, question);
+    fleet              system;
+    chat_request const question{.tokens = 200};
+    caller_group       killed(system, {0}, 8, question);
+    caller_group       others(system, {1, 2}, 8, question);
     ASSERT_TRUE(eventually([&] { return killed.answered() >= 8; }));
     system.node(0).signal(SIGKILL);
     auto const answered = others.answered();
--- a/tests/failure/drains_test.cpp
+++ b/tests/failure/drains_test.cpp
@@ -60,13 +60,13 @@
 {
     fleet_options options;
     options.node_settings["drain_notice_ms"] = "3000";
-    fleet                system(options);
-    model_question const question{.tokens = 200};
-    caller_group         load(system, {0}, 12, question);
+    fleet              system(options);
+    chat_request const question{.tokens = 200};
+    caller_group       load(system, {0}, 12, question);
     ASSERT_TRUE(eventually([&] { return load.answered() >= 12; }));
     // Outlasts the notice, so that the node refuses calls for a while before it stops.
-    model_question const longest{.tokens = 3000};
-    std::thread          long_call(
+    chat_request const longest{.tokens = 3000};
+    std::thread        long_call(
         [&] { EXPECT_TRUE(call_model(system, 0, longest).whole(longest)); });
     ASSERT_TRUE(eventually(
         [&] { return system.admin(0, "/admin/status").value("inflight", 0) > 12; }));
@@ -101,9 +101,9 @@
 // of the log that all nodes read.
 TEST(drains, of_an_engine_holds_on_all_nodes_and_cuts_nothing)
 {
-    fleet                system;
-    model_question const slow{.tokens = 600};
-    caller_group         load(system, {0, 1, 2}, 6, slow);
+    fleet              system;
+    chat_request const slow{.tokens = 600};
+    caller_group       load(system, {0, 1, 2}, 6, slow);
     ASSERT_TRUE(eventually([&] { return generated_at(system, 0) > 0; }));
     json drain = {{"scope", "server"}, {"name", "engine-0"}, {"drained", true}};
     EXPECT_EQ(system.admin_post(1, "/admin/servers/drain", drain)["outcome"], "accepted");
@@ -150,8 +150,8 @@
     fleet_options options;
     options.node_settings["usage_flush_ms"] = "60000";
     options.node_settings["drain_ms"] = "3000";
-    fleet                system(options);
-    model_question const question;
+    fleet              system(options);
+    chat_request const question;
     EXPECT_TRUE(call_model(system, 0, question).whole(question));
     EXPECT_TRUE(call_model(system, 1, question).whole(question));
     system.fault(system.platform_port(), {{"kind", "outage"}, {"from", "node-0"}});
@@ -191,8 +191,8 @@
     fleet system;
     system.fault(system.engine_port(0), {{"kind", "leaving"}});
     ASSERT_TRUE(leaving_everywhere(system, "engine-0", true));
-    auto const           before = generated_at(system, 0);
-    model_question const question;
+    auto const         before = generated_at(system, 0);
+    chat_request const question;
     for (int index = 0; index < 12; ++index)
     {
         EXPECT_TRUE(call_model(system, index % 3, question).whole(question));
@@ -204,9 +204,9 @@
 // Each stream resumes on another engine where it was interrupted and ends properly.
 TEST(drains, a_zone_reclaimed_at_once_loses_no_stream)
 {
-    fleet                system({.engines = 6});
-    model_question const question{.tokens = 400};
-    caller_group         load(system, {0, 1, 2}, 24, question);
+    fleet              system({.engines = 6});
+    chat_request const question{.tokens = 400};
+    caller_group       load(system, {0, 1, 2}, 24, question);
     ASSERT_TRUE(eventually(
         [&] { return generated_at(system, 0) > 3 && generated_at(system, 3) > 3; }));
     system.engine(0).signal(SIGKILL);
--- a/tests/failure/silent_connections_test.cpp
+++ b/tests/failure/silent_connections_test.cpp
@@ -30,7 +30,7 @@
     auto options = one_engine();
     options.node_settings["max_attempts"] = "2";
     fleet                    system(options);
-    model_question const     slow{.tokens = 400};
+    chat_request const       slow{.tokens = 400};
     std::vector<std::thread> callers;
     for (int index = 0; index < 8; ++index)
     {
@@ -42,7 +42,7 @@
         caller.join();
     }
     system.engine_relay(0).silence_open();
-    model_question const question;
+    chat_request const question;
     EXPECT_TRUE(call_model(system, 0, question).whole(question));
     EXPECT_TRUE(call_model(system, 0, question).whole(question));
 }
@@ -51,12 +51,12 @@
 // pause of progress_ms, then the rest, with each token once.
 TEST(silent_connections, a_stream_goes_on_at_the_same_engine_over_a_new_one)
 {
-    fleet                system(one_engine());
-    model_question const question{.tokens = 400};
-    std::atomic<int>     parts{0};
-    auto const           answer = call_model(system, 0, question,
-                                             [&]
-                                             {
+    fleet              system(one_engine());
+    chat_request const question{.tokens = 400};
+    std::atomic<int>   parts{0};
+    auto const         answer = call_model(system, 0, question,
+                                           [&]
+                                           {
                                        if (++parts == 5)
                                        {
                                            system.engine_relay(0).silence_open();
@@ -91,7 +91,7 @@
     };
     system.fault(system.engine_port(1), {{"kind", "leaving"}});
     EXPECT_TRUE(eventually([&] { return leaving("engine-1"); }));
-    system.publish_machines({{"engine-2", {{"state", "leaving"}}}});
+    system.publish_vms({{"engine-2", {{"state", "leaving"}}}});
     EXPECT_TRUE(eventually([&] { return leaving("engine-2"); }));
     EXPECT_FALSE(leaving("engine-0"));
     system.engine(0).signal(SIGCONT);
@@ -108,9 +108,9 @@
     fleet                    system(options);
     auto const               port = system.next_port();
     tcp_relay                between(port, system.node_port(0));
-    model_question const     endless{.tokens = 1'000'000, .timeout_s = 60, .port = port};
+    chat_request const       endless{.tokens = 1'000'000, .timeout_s = 60, .port = port};
     std::vector<std::thread> stalled;
-    model_question const     question;
+    chat_request const       question;
     ASSERT_TRUE(eventually(
         [&]
         {
@@ -186,7 +186,7 @@
         callers.emplace_back(
             [&]
             {
-                model_question const question{.tokens = 40};
+                chat_request const question{.tokens = 40};
                 while (!over)
                 {
                     auto const answer = call_model(system, 0, question);
@@ -216,7 +216,7 @@
     EXPECT_TRUE(eventually([&] { return status("own_running") == 0; }));
     EXPECT_EQ(process_count(pid, "task"), threads);
     EXPECT_TRUE(eventually([&] { return process_count(pid, "fd") < 60; }));
-    model_question const question;
+    chat_request const question;
     EXPECT_TRUE(call_model(system, 0, question).whole(question));
     RecordProperty("refused", refused);
 }
--- a/tests/support/model_caller.cpp
+++ b/tests/support/model_caller.cpp
@@ -16,7 +16,7 @@
 {
 using nlohmann::json;
 
-json messages_of(model_question const& question)
+json messages_of(chat_request const& question)
 {
     return json::array({{{"role", "user"}, {"content", question.prompt}}});
 }
@@ -67,13 +67,13 @@
 }
 } // namespace
 
-bool model_response::whole(model_question const& question) const
+bool model_response::whole(chat_request const& question) const
 {
     return status == 200 && ended && text == expected &&
            stated_tokens == static_cast<std::uint64_t>(question.tokens);
 }
 
-model_response call_model(fleet const& system, int node, model_question const& question,
+model_response call_model(fleet const& system, int node, chat_request const& question,
                           std::function<void()> const& on_bytes)
 {
     auto const      port = question.port != 0 ? question.port : system.node_port(node);
@@ -123,7 +123,7 @@
     return answer;
 }
 
-std::string expected_text(model_question const& question)
+std::string expected_text(chat_request const& question)
 {
     auto const  prompt = messages_of(question).dump();
     auto const  hash = XXH64(prompt.data(), prompt.size(), 0);
@@ -136,7 +136,7 @@
 }
 
 caller_group::caller_group(fleet const& system, std::vector<int> nodes, int callers,
-                           model_question question)
+                           chat_request question)
 {
     for (int index = 0; index < callers; ++index)
     {
--- a/tests/support/model_caller.hpp
+++ b/tests/support/model_caller.hpp
@@ -17,7 +17,7 @@
 {
 
 /// A chat completion request for `tokens` tokens.
-struct model_question
+struct chat_request
 {
     std::string workspace = "north";
     std::string key; // "": the key of the workspace
@@ -40,23 +40,23 @@
     std::string   connection; // header Connection
     std::string   expected;   // the text that every engine generates for it
 
-    bool whole(model_question const& question) const;
+    bool whole(chat_request const& question) const;
 };
 
 /// Calls a node; `on_bytes` runs whenever a part of the response arrives.
 model_response call_model(
-    fleet const& system, int node, model_question const& question = {},
+    fleet const& system, int node, chat_request const& question = {},
     std::function<void()> const& on_bytes = [] {});
 
 /// The text that every engine generates for the request.
-std::string expected_text(model_question const& question);
+std::string expected_text(chat_request const& question);
 
 /// Threads that call the nodes in turn until stop() or destruction.
 class caller_group
 {
 public:
     caller_group(fleet const& system, std::vector<int> nodes, int callers,
-                 model_question question);
+                 chat_request question);
     ~caller_group();
 
     /// Stops the callers and returns all responses.
--- a/tests/support/node_process.cpp
+++ b/tests/support/node_process.cpp
@@ -154,7 +154,7 @@
     {
         start_service(index);
     }
-    publish_machines();
+    publish_vms();
     for (int index = 0; index < options_.nodes; ++index)
     {
         start_node(index);
@@ -434,7 +434,7 @@
     }
 }
 
-void fleet::publish_machines(json const& changes) const
+void fleet::publish_vms(json const& changes) const
 {
     json vms = json::array();
     auto add = [&](std::string const& prefix, std::string const& group,
--- a/tests/support/node_process.hpp
+++ b/tests/support/node_process.hpp
@@ -82,7 +82,7 @@
     std::vector<std::string> log_records() const;
 
     /// Sends the list of VMs to the platform; `changes` maps a VM id to changed fields.
-    void publish_machines(nlohmann::json const& changes = nlohmann::json::object()) const;
+    void publish_vms(nlohmann::json const& changes = nlohmann::json::object()) const;
 
     /// Sends a change of the rules to a node and returns its response.
     nlohmann::json apply(int node, std::string const& rules, std::uint64_t base_revision,
--- a/tests/support/tcp_relay.cpp
+++ b/tests/support/tcp_relay.cpp
@@ -82,7 +82,7 @@
     return count;
 }
 
-void tcp_relay::cut_off(std::set<std::string> senders)
+void tcp_relay::silence_senders(std::set<std::string> senders)
 {
     std::lock_guard const lock(mutex_);
     silent_senders_ = std::move(senders);
@@ -94,7 +94,7 @@
     all_silent_ = on;
 }
 
-void tcp_relay::cut_one_way(bool on)
+void tcp_relay::drop_to_target(bool on)
 {
     std::lock_guard const lock(mutex_);
     all_one_way_ = on;
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -36,14 +36,14 @@
 
     /// Makes connections of these senders silent, new ones too, until the next call;
     /// connections that became silent stay so.
-    void cut_off(std::set<std::string> senders);
+    void silence_senders(std::set<std::string> senders);
 
     /// Makes all connections silent, new ones too, while this is on; they stay silent.
     void silence_all(bool on);
 
     /// Connections that are open or opened while this is on drop all data from the caller
     /// to the target for good, and relay everything the other way.
-    void cut_one_way(bool on);
+    void drop_to_target(bool on);
 
     /// Closes all open connections; closes new ones at once while this is on.
     void cut(bool on);
