--- a/tests/failure/silent_connections_test.cpp
+++ b/tests/failure/silent_connections_test.cpp
@@ -129,9 +129,9 @@
     }
 }
 
-// An entry VM is stopped. Its kernel still acknowledges everything, so only missing
-// heartbeats show that it is not live. Peers that count it as live would go on sending it
-// orders and withdrawals.
+// An entry VM is stopped. Its kernel still acknowledges everything, so only messages of
+// its own show that it is live. Peers that count it as live would go on sending it orders
+// and withdrawals.
 TEST(silent_connections, a_stopped_peer_is_not_live_until_it_goes_on)
 {
     fleet      system({.engines = 1, .services = 0});
