--- a/scripts/packages.sh
+++ b/scripts/packages.sh
@@ -1,4 +1,5 @@
-# The packages that build and tests need; sourced by the scripts beside it.
+# Lists the packages that the build and the tests need, and installs those that are missing.
+# The other scripts in this folder source this file.
 PACKAGES="g++ cmake ninja-build pkg-config git ccache clang-format clang-tidy \
 libtbb-dev libzmq3-dev cppzmq-dev libprotobuf-dev protobuf-compiler libboost1.81-dev \
 libcpp-httplib-dev libbrotli-dev zlib1g-dev libeasyloggingpp-dev librapidcheck-dev \
