--- a/scripts/quickstart.py
+++ b/scripts/quickstart.py
@@ -1,6 +1,8 @@
-"""Runs the whole system on loopback and sends it two requests.
+"""Runs the whole system on loopback and sends it one streamed and one non-repeatable request.
 
-Usage: quickstart.py; KEEP=1 keeps it running until interrupted.
+Usage: quickstart.py. scripts/quickstart builds the programs and runs this script.
+The output of each process goes to build/quickstart/. With KEEP=1 in the environment, the
+processes run until the script is interrupted.
 """
 
 import json
@@ -13,8 +15,8 @@
 import time
 import urllib.request
 
-BUILD = pathlib.Path("build").resolve()
-RUN = BUILD / "quickstart"
+BUILD_DIR = pathlib.Path("build").resolve()
+RUN_DIR = BUILD_DIR / "quickstart"
 NODES = 3
 ENGINES = 3
 SERVICES = 1
@@ -23,7 +25,7 @@
 
 
 def free_ports(count):
-    """Ports below those of the tests, in a block that nothing listens on."""
+    """Returns `count` consecutive free ports, below the range that the tests use."""
     for base in range(5000, 9900, 50):
         sockets = []
         try:
@@ -34,14 +36,14 @@
         except OSError:
             continue
         finally:
-            for each in sockets:
-                each.close()
-    sys.exit("no free ports")
+            for bound_socket in sockets:
+                bound_socket.close()
+    sys.exit("no block of free ports between 5000 and 9900")
 
 
 def start(name, *command):
-    log = open(RUN / f"{name}.txt", "w")
-    child = subprocess.Popen([str(BUILD / command[0]), *command[1:]], stdout=log, stderr=log)
+    log = open(RUN_DIR / f"{name}.txt", "w")
+    child = subprocess.Popen([str(BUILD_DIR / command[0]), *command[1:]], stdout=log, stderr=log)
     children.append(child)
     return child
 
@@ -51,8 +53,8 @@
     request = urllib.request.Request(url, data=data, headers=headers or {})
     if data:
         request.add_header("Content-Type", "application/json")
-    with urllib.request.urlopen(request, timeout=20) as answer:
-        return answer.read().decode(), dict(answer.headers)
+    with urllib.request.urlopen(request, timeout=20) as response:
+        return response.read().decode(), dict(response.headers)
 
 
 def wait_for(what, check):
@@ -64,11 +66,11 @@
         except OSError:
             pass
         time.sleep(0.05)
-    sys.exit(f"{what} did not come up; see build/quickstart/")
+    sys.exit(f"{what} was not ready after 600 checks; see the logs in build/quickstart/")
 
 
-def tool(arguments, env):
-    run = subprocess.run([str(BUILD / "marigoldcrank"), *arguments], env={**os.environ, **env},
+def run_operator_tool(arguments, env):
+    run = subprocess.run([str(BUILD_DIR / "marigoldcrank"), *arguments], env={**os.environ, **env},
                          capture_output=True, text=True)
     if run.returncode != 0:
         sys.exit(f"marigoldcrank {' '.join(arguments)}: exit {run.returncode}\n{run.stderr}")
@@ -89,7 +91,7 @@
     for key in keys:
         text += (f"[targets]\n; asked for by the quickstart\n{key['workspace']}-fast = "
                  f"workspace={key['workspace']} first_token_ms=410 between_tokens_ms=75\n")
-    (RUN / "rules.ini").write_text(text)
+    (RUN_DIR / "rules.ini").write_text(text)
 
 
 def start_standins(ports):
@@ -103,18 +105,18 @@
     wait_for("the platform", lambda: fetch(f"http://127.0.0.1:{platform}/control/received"))
     for port in engines + services:
         wait_for("a stand-in", lambda p=port: fetch(f"http://127.0.0.1:{p}/load"))
-    machines = [(f"engine-{i}", p, "wording", i) for i, p in enumerate(engines)]
-    machines += [(f"service-{i}", p, "ordering", i) for i, p in enumerate(services)]
+    vms = [(f"engine-{i}", p, "wording", i) for i, p in enumerate(engines)]
+    vms += [(f"service-{i}", p, "ordering", i) for i, p in enumerate(services)]
     fetch(f"http://127.0.0.1:{platform}/control/vms",
           [{"id": name, "host": "127.0.0.1", "port": port, "data_centre": f"dc-{i % 3 + 1}",
-            "group": group, "cheap": False, "state": "live"} for name, port, group, i in machines])
+            "group": group, "cheap": False, "state": "live"} for name, port, group, i in vms])
 
 
 def start_nodes(ports, platform, operator_setting):
     http, peers = ports
     peer_list = " ".join(f"entry-{i}@127.0.0.1:{port}" for i, port in enumerate(peers))
     for index in range(NODES):
-        path = RUN / f"entry-{index}.ini"
+        path = RUN_DIR / f"entry-{index}.ini"
         path.write_text(
             f"[node]\nname = entry-{index}\ndata_centre = dc-{index % 3 + 1}\n"
             f"http_port = {http[index]}\nhttp_threads = 64\noperator_key = {operator_setting}\n"
@@ -129,33 +131,33 @@
 
 def send_requests(url, key):
     headers = {"Authorization": f"Bearer {key}"}
-    answer, answer_headers = fetch(
+    stream, response_headers = fetch(
         url + "/v1/chat/completions",
         {"model": "wording-small", "stream": True, "max_tokens": 8,
          "messages": [{"role": "user", "content": "a certificate line for Noor"}]}, headers)
-    print(answer)
-    if "data: [DONE]" not in answer:
-        sys.exit("the streamed answer is not whole")
+    print(stream)
+    if "data: [DONE]" not in stream:
+        sys.exit("the streamed response is incomplete: it has no [DONE] event")
     order, _ = fetch(url + SERVICE_PATH, {"copies": 30},
                      {**headers, "Idempotency-Key": "quickstart-order"})
     print(order)
-    return answer_headers["X-Request-Id"]
+    return response_headers["X-Request-Id"]
 
 
 def write_environment(values):
     lines = [f'{name}="{value}"\n' for name, value in values.items()]
-    (BUILD / "quickstart.env").write_text("".join(lines))
+    (BUILD_DIR / "quickstart.env").write_text("".join(lines))
 
 
 def main():
-    RUN.mkdir(parents=True, exist_ok=True)
+    RUN_DIR.mkdir(parents=True, exist_ok=True)
     ports = free_ports(1 + ENGINES + SERVICES + 2 * NODES)
     platform, engines = ports[0], ports[1:1 + ENGINES]
     services = ports[1 + ENGINES:1 + ENGINES + SERVICES]
-    rest = ports[1 + ENGINES + SERVICES:]
-    http, peers = rest[:NODES], rest[NODES:]
-    operator = json.loads(tool(["--json", "keys", "operator"], {}))
-    keys = [json.loads(tool(["--json", "keys", "create", f"{name}-1", name], {})) |
+    remaining_ports = ports[1 + ENGINES + SERVICES:]
+    http, peers = remaining_ports[:NODES], remaining_ports[NODES:]
+    operator = json.loads(run_operator_tool(["--json", "keys", "operator"], {}))
+    keys = [json.loads(run_operator_tool(["--json", "keys", "create", f"{name}-1", name], {})) |
             {"workspace": name} for name in ("noord", "zuid")]
     write_rules(keys)
     start_standins((platform, engines, services))
@@ -163,16 +165,16 @@
     urls = [f"http://127.0.0.1:{port}" for port in http]
     env = {"MARIGOLDCRANK_NODES": ",".join(f"127.0.0.1:{port}" for port in http),
            "MARIGOLDCRANK_OPERATOR_KEY": operator["key"]}
-    print(tool(["apply", str(RUN / "rules.ini")], env))
+    print(run_operator_tool(["apply", str(RUN_DIR / "rules.ini")], env))
     for url in urls:
-        wait_for("the rules on a node", lambda u=url: fetch(u + "/readyz"))
+        wait_for("a node with the rules", lambda u=url: fetch(u + "/readyz"))
         wait_for("the list of backend servers",
                  lambda u=url: json.loads(fetch(u + "/admin/status", headers={
                      "Authorization": "Bearer " + operator["key"]})[0])["backend_servers"])
     request_id = send_requests(urls[0], keys[0]["key"])
-    print(tool(["explain", request_id], env))
-    wait_for("the usage", lambda: "output" in tool(["usage"], env))
-    print(tool(["usage"], env))
+    print(run_operator_tool(["explain", request_id], env))
+    wait_for("the usage report", lambda: "output" in run_operator_tool(["usage"], env))
+    print(run_operator_tool(["usage"], env))
     write_environment({
         "ENTRY_URLS": " ".join(urls), "PLATFORM_URL": f"http://127.0.0.1:{platform}",
         "ENGINE_URLS": " ".join(f"http://127.0.0.1:{p}" for p in engines),
@@ -182,7 +184,7 @@
         "STANDIN_PIDS": " ".join(str(c.pid) for c in children[:1 + ENGINES + SERVICES]),
         "ENTRY_PIDS": " ".join(str(c.pid) for c in children[1 + ENGINES + SERVICES:])})
     if os.environ.get("KEEP"):
-        print("running; addresses in build/quickstart.env; interrupt to stop", flush=True)
+        print("running; addresses in build/quickstart.env; SIGINT or SIGTERM stops it", flush=True)
         signal.sigwait({signal.SIGINT, signal.SIGTERM})
 
 
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,9 +1,11 @@
-"""Runs ctest and passes over just the failures that KNOWN-RED.txt lists.
+"""Runs ctest and ignores exactly the failures that KNOWN-RED.txt lists.
 
 Usage: run_tests.py BUILD_FOLDER [LABELS]
 
-A line of KNOWN-RED.txt reads `test | command | seed | what was seen | issue`; blank lines and
-lines with # do not count. A listed test that passes is printed, so that its line can go.
+LABELS is a regular expression that selects tests by label. A line of KNOWN-RED.txt has the form
+`test | command | seed | what was seen | issue`; blank lines and lines that start with # are
+skipped. Each listed test is printed with its result, so that the line of a test that passes
+again can be removed. The exit status is ctest's, or 0 if all failed tests are listed.
 """
 
 import os
@@ -12,17 +14,17 @@
 import subprocess
 import sys
 
-MOST_KNOWN_RED = 3
+MAX_KNOWN_FAILURES = 3
 
 
-def known_red():
+def read_known_failures():
     path = pathlib.Path("KNOWN-RED.txt")
     if not path.exists():
         return {}
     lines = [line.strip() for line in path.read_text().splitlines()]
     lines = [line for line in lines if line and not line.startswith("#")]
-    if len(lines) > MOST_KNOWN_RED:
-        sys.exit(f"KNOWN-RED.txt has {len(lines)} lines, {MOST_KNOWN_RED} at most")
+    if len(lines) > MAX_KNOWN_FAILURES:
+        sys.exit(f"KNOWN-RED.txt has {len(lines)} lines, at most {MAX_KNOWN_FAILURES} are allowed")
     return {line.split("|")[0].strip(): line for line in lines}
 
 
@@ -33,15 +35,15 @@
     command += ["--no-tests=error"]
     if labels:
         command += ["-L", labels]
-    run = subprocess.run(command, stdout=subprocess.PIPE, text=True)
-    print(run.stdout, end="", flush=True)
-    failed = set(re.findall(r"^\s*\d+ - (\S+) \(.*\)\s*$", run.stdout, re.MULTILINE))
-    red = known_red()
-    for name, line in red.items():
+    ctest = subprocess.run(command, stdout=subprocess.PIPE, text=True)
+    print(ctest.stdout, end="", flush=True)
+    failed = set(re.findall(r"^\s*\d+ - (\S+) \(.*\)\s*$", ctest.stdout, re.MULTILINE))
+    known_failures = read_known_failures()
+    for name, line in known_failures.items():
         print(f"known red, {'failed' if name in failed else 'passed this time'}: {line}")
-    if run.returncode != 0 and failed and failed <= set(red):
+    if ctest.returncode != 0 and failed and failed <= set(known_failures):
         return 0
-    return run.returncode
+    return ctest.returncode
 
 
 sys.exit(main())
