--- a/src/app/idempotency_log.hpp
+++ b/src/app/idempotency_log.hpp
@@ -1,9 +1,8 @@
 // Runs calls that carry an idempotency key at most once: writes their claims, releases
 // and results to the log.
 //
-// Index: 1 idempotency_log_options, 2 call_claim, 3 idempotency_log: claims, 4
-// idempotency_log: group
-//        commit, 5 idempotency_log: pending writes
+// Index: 1 idempotency_log_options, 2 call_claim, 3 idempotency_log: claims,
+//        4 idempotency_log: group commit, 5 idempotency_log: pending writes
 #ifndef MARIGOLDCRANK_APP_IDEMPOTENCY_LOG_HPP
 #define MARIGOLDCRANK_APP_IDEMPOTENCY_LOG_HPP
 
--- a/src/app/ledger_store.hpp
+++ b/src/app/ledger_store.hpp
@@ -50,7 +50,7 @@
     }
 };
 
-/// Holds the ledger, which changes only by records of the log, and beside it what peers
+/// Holds the ledger, which changes only by records of the log, and in addition what peers
 /// send ahead of the log: a newer configuration, withdrawn keys and drains. The newest
 /// accepted configuration of both sources is in force. Thread-safe.
 class ledger_store
--- a/src/app/node_work.cpp
+++ b/src/app/node_work.cpp
@@ -1,6 +1,6 @@
 // Background work of the daemon: duties, usage and the idempotency log.
 //
-// Index: 1 duties, 2 usage, 3 calls
+// Index: 1 duties, 2 usage, 3 idempotency log
 #include "app/node_parts.hpp"
 
 namespace marigoldcrank
@@ -104,7 +104,7 @@
     }
 }
 
-// 3. Calls
+// 3. Idempotency log
 
 /// Appends releases and results of calls that are not in the log yet.
 void node::parts::run_idempotency()
--- a/src/domain/backend_server.hpp
+++ b/src/domain/backend_server.hpp
@@ -28,7 +28,7 @@
     int          port = 0;
     std::string  data_centre;
     std::string  group;            // its servers serve the same models or service
-    bool         cheap = false;    // the platform may reclaim it, with its whole zone
+    bool         cheap = false;    // the platform may reclaim it, with its data centre
     bool         leaving = false;  // is going away and gets no new calls
     std::string  order_id;         // order that bought it; empty if none did
     bool         starting = false; // bought, but not live yet
--- a/src/domain/entry_settings.hpp
+++ b/src/domain/entry_settings.hpp
@@ -44,7 +44,7 @@
 {
     // [node]
     std::string    name;         // unique among the VMs
-    std::string    data_centre;  // where this VM stands
+    std::string    data_centre;  // data centre of this VM
     socket_address callers;      // where callers connect
     socket_address readiness;    // where the balancer reads readiness
     socket_address metrics;      // where metrics are served; port 0: nowhere
@@ -73,8 +73,8 @@
     bool directory = true; // true  calls go to engines with cached parts of their prompt
     bool fetch = true;     // true  engines fetch cached prompt parts from each other
     bool colocated = true; // true  decoding engines prefill while streams tolerate it
-    bool handover = true;  // true  prompts may be prefilled elsewhere and handed off
-    bool home = true;      // true  calls that share uncached parts go to the same engine
+    bool allow_handoff = true;  // true  prompts may be prefilled elsewhere and handed off
+    bool use_rendezvous = true; // true  calls sharing uncached parts go to one engine
     bool learn_prefill_times = true; // true  prefill times follow observed prefills
     bool refuse_long_waits = true; // true  calls that would wait far too long are refused
     bool change_roles = true;      // true  the roles of engines follow the load
--- a/src/policy/fair_share.hpp
+++ b/src/policy/fair_share.hpp
@@ -4,8 +4,8 @@
 //
 // An entry VM sees only a part of a workspace's requests; for a small workspace these are
 // a few in a window, too few to decide on. Entry VMs therefore exchange digests of their
-// use with their heartbeats. A digest holds the heaviest workspaces, so that what it
-// leaves out is small.
+// use with their heartbeats. A digest holds the workspaces with the most use for their
+// weight, so that the use it leaves out is small.
 #ifndef MARIGOLDCRANK_POLICY_FAIR_SHARE_HPP
 #define MARIGOLDCRANK_POLICY_FAIR_SHARE_HPP
 
--- a/src/policy/limit_book.cpp
+++ b/src/policy/limit_book.cpp
@@ -19,17 +19,17 @@
 
 void limit_book::set_limit(std::string const& workspace, std::int64_t limit)
 {
-    books_[workspace].limit = limit;
+    accounts_[workspace].limit = limit;
 }
 
 void limit_book::set_demand(std::string const& workspace, std::int64_t demand)
 {
-    books_[workspace].demand = demand;
+    accounts_[workspace].demand = demand;
 }
 
-std::int64_t limit_book::own_share(workspace_book const& book) const
+std::int64_t limit_book::own_share(workspace_account const& account) const
 {
-    return book.limit / std::max<std::int64_t>(1, terms_.entries);
+    return account.limit / std::max<std::int64_t>(1, terms_.entries);
 }
 
 std::int64_t limit_book::sum(std::vector<loan>& loans, boot_clock::time_point now) const
@@ -45,59 +45,59 @@
 
 std::int64_t limit_book::usable(std::string const& workspace, boot_clock::time_point now)
 {
-    auto&      book = books_[workspace];
-    auto const own = own_share(book);
+    auto&      account = accounts_[workspace];
+    auto const own = own_share(account);
     bool const recently_started = now < started_ + terms_.loan + terms_.drift;
     auto const available =
         recently_started ? own * terms_.reserved_percent / percent : own;
-    return std::max<std::int64_t>(0, available - sum(book.lent, now)) +
-           sum(book.borrowed, now);
+    return std::max<std::int64_t>(0, available - sum(account.lent, now)) +
+           sum(account.borrowed, now);
 }
 
 std::optional<limit_ask> limit_book::ask(std::string const&     workspace,
                                          boot_clock::time_point now)
 {
-    auto&      book = books_[workspace];
-    auto const shortfall = book.demand - usable(workspace, now);
-    std::erase_if(book.asked,
+    auto&      account = accounts_[workspace];
+    auto const shortfall = account.demand - usable(workspace, now);
+    std::erase_if(account.asked,
                   [&](auto const& each) { return now >= each.second + terms_.loan; });
-    if (book.limit == 0 || shortfall <= 0)
+    if (account.limit == 0 || shortfall <= 0)
     {
         return std::nullopt;
     }
     auto const number = next_ask_++;
-    book.asked[number] = now;
+    account.asked[number] = now;
     return limit_ask{workspace, number, shortfall};
 }
 
 std::optional<limit_grant> limit_book::lend(limit_ask const&       ask,
                                             boot_clock::time_point now)
 {
-    auto&      book = books_[ask.workspace];
-    auto const own = own_share(book);
+    auto&      account = accounts_[ask.workspace];
+    auto const own = own_share(account);
     bool const recently_started = now < started_ + terms_.loan + terms_.drift;
-    auto const lent = sum(book.lent, now);
+    auto const lent = sum(account.lent, now);
     auto const lendable = own - own * terms_.reserved_percent / percent - lent;
-    auto const spare = own - lent - book.demand;
+    auto const spare = own - lent - account.demand;
     auto const amount = std::min({ask.wanted, lendable, spare});
     if (recently_started || amount <= 0)
     {
         return std::nullopt;
     }
-    book.lent.push_back({amount, now + terms_.loan + terms_.drift});
+    account.lent.push_back({amount, now + terms_.loan + terms_.drift});
     return limit_grant{ask.workspace, ask.ask, amount};
 }
 
 void limit_book::take(limit_grant const& grant, boot_clock::time_point now)
 {
-    auto&      book = books_[grant.workspace];
-    auto const asked = book.asked.find(grant.ask);
-    if (asked == book.asked.end() || now >= asked->second + terms_.loan)
+    auto&      account = accounts_[grant.workspace];
+    auto const asked = account.asked.find(grant.ask);
+    if (asked == account.asked.end() || now >= asked->second + terms_.loan)
     {
         return;
     }
-    book.borrowed.push_back({grant.amount, asked->second + terms_.loan});
-    book.asked.erase(asked);
+    account.borrowed.push_back({grant.amount, asked->second + terms_.loan});
+    account.asked.erase(asked);
 }
 
 } // namespace marigoldcrank
--- a/src/policy/limit_book.hpp
+++ b/src/policy/limit_book.hpp
@@ -56,7 +56,8 @@
     bool operator==(limit_grant const&) const = default;
 };
 
-/// Own shares, given and received loans of all workspaces. Not thread-safe.
+/// This VM's shares of all workspace limits, and its loans to and from other VMs. Not
+/// thread-safe.
 class limit_book
 {
 public:
@@ -92,7 +93,7 @@
         std::int64_t           amount;
         boot_clock::time_point until;
     };
-    struct workspace_book
+    struct workspace_account
     {
         std::int64_t                                    limit = 0;
         std::int64_t                                    demand = 0;
@@ -101,13 +102,13 @@
         std::map<std::uint64_t, boot_clock::time_point> asked; // send time by query
     };
 
-    std::int64_t own_share(workspace_book const& book) const;
+    std::int64_t own_share(workspace_account const& account) const;
     std::int64_t sum(std::vector<loan>& loans, boot_clock::time_point now) const;
 
-    limit_terms                           terms_;
-    boot_clock::time_point                started_;
-    std::uint64_t                         next_ask_;
-    std::map<std::string, workspace_book> books_;
+    limit_terms                              terms_;
+    boot_clock::time_point                   started_;
+    std::uint64_t                            next_ask_;
+    std::map<std::string, workspace_account> accounts_;
 };
 
 } // namespace marigoldcrank
--- a/src/policy/mass_loss.hpp
+++ b/src/policy/mass_loss.hpp
@@ -1,5 +1,5 @@
-// Distinguishes the loss of several servers at once, as when a zone is reclaimed, from
-// server crashes that a request causes.
+// Distinguishes the loss of several servers at once, as when a data centre is
+// reclaimed, from server crashes that a request causes.
 //
 // Index: mass_loss
 #ifndef MARIGOLDCRANK_POLICY_MASS_LOSS_HPP
@@ -16,9 +16,9 @@
 {
 
 /// A request that crashes servers does so one after the other; a platform that reclaims a
-/// zone removes several at the same moment. If several servers are lost within a window,
-/// a content that was in flight on only one of them did not crash the others, so it is no
-/// longer suspected. Value type.
+/// data centre removes several at the same moment. If several servers are lost within a
+/// window, a content that was in flight on only one of them did not crash the others, so
+/// it is no longer suspected. Value type.
 class mass_loss
 {
 public:
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -106,7 +106,7 @@
 {
 
 // 1e6  ms; above any real wait, so that an engine outside the sample is chosen only if
-//      all sampled ones are suspects
+//      all sampled ones are avoided
 constexpr double unsampled_cost = 1e6;
 constexpr double infeasible_cost = std::numeric_limits<double>::infinity();
 
@@ -176,13 +176,15 @@
     {
         auto const shared =
             placed.prefill_ms - fixed_time(each) - prefill_time(each, own_tokens_);
-        bool const home = each.server == (is_prefill_engine(each) ? prefill_rendezvous_
-                                                                  : decode_rendezvous_);
-        auto const discount =
-            home ? options_.home * prefill_time(each, shared_tokens_) : 0.0;
+        bool const is_rendezvous =
+            each.server ==
+            (is_prefill_engine(each) ? prefill_rendezvous_ : decode_rendezvous_);
+        auto const discount = is_rendezvous ? options_.rendezvous_margin *
+                                                  prefill_time(each, shared_tokens_)
+                                            : 0.0;
         return placed.wait_ms + placed.prefill_ms +
                (options_.recompute_weight - 1) * shared - discount + distance_cost(each) +
-               spread(each) + (is_sampled(each) ? 0.0 : unsampled_cost);
+               random_cost(each) + (is_sampled(each) ? 0.0 : unsampled_cost);
     }
 
     /// Whether a decode engine may prefill the prompt while its streams run.
@@ -212,16 +214,16 @@
     {
         auto const role = is_prefill_engine(each) ? prefill_engines_ : decode_engines_;
         bool const few = costs_.sampled_engines <= 0 || role <= costs_.sampled_engines;
-        bool const home =
+        bool const is_rendezvous =
             each.server == prefill_rendezvous_ || each.server == decode_rendezvous_;
-        return few || home || each.cached > 0 ||
+        return few || is_rendezvous || each.cached > 0 ||
                hash_fraction(~tie_break_, each.server->id) * static_cast<double>(role) <
                    static_cast<double>(costs_.sampled_engines);
     }
 
-    double spread(candidate const& each) const
+    double random_cost(candidate const& each) const
     {
-        auto const most = options_.spread * costs_.unreported_ms;
+        auto const most = options_.random_range * costs_.unreported_ms;
         return most <= 0 ? 0.0 : most * hash_fraction(tie_break_, each.server->id);
     }
 
@@ -265,8 +267,8 @@
     std::int64_t             own_tokens_;
     std::int64_t             shared_tokens_;
     bool                     has_prefill_engine_ = false;
-    std::int64_t             prefill_engines_ = 0; // sound engines for prefill only
-    std::int64_t             decode_engines_ = 0;  // the other sound engines
+    std::int64_t             prefill_engines_ = 0; // prefill engines not avoided
+    std::int64_t             decode_engines_ = 0;  // the others not avoided
     bool             cached_anywhere_ = false; // some engine caches a part of the prompt
     candidate const* best_cache_ = nullptr;    // has computed most of the prompt
     backend_server const* prefill_rendezvous_ = nullptr;
@@ -311,7 +313,7 @@
         return std::nullopt;
     }
     bool const use_handoff =
-        options.handover && call.unshared_tokens() >= options.min_handoff_tokens &&
+        options.allow_handoff && call.unshared_tokens() >= options.min_handoff_tokens &&
         handed_off.cost + costs.handoff_ms + options.handoff_cost_ms < colocated.cost;
     return plan_of(colocated.chosen == nullptr || use_handoff ? *handed_off.chosen
                                                               : *colocated.chosen);
@@ -332,7 +334,7 @@
                                                        ? infeasible_cost
                                                        : estimates.queue_time(each) +
                                                     estimates.distance_cost(each) +
-                                                    estimates.spread(each);
+                                                    estimates.random_cost(each);
                                });
     return best.chosen == nullptr ? nullptr : best.chosen->server;
 }
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -56,7 +56,7 @@
     double recompute_weight = 2;
     // 0.5   of the prefill time of the shared parts; if no engine caches them, the call
     //       goes to their rendezvous engine unless another is faster by more than this
-    double home = 0.5;
+    double rendezvous_margin = 0.5;
     // 300   tokens; a prompt with fewer unshared tokens is prefilled where it is decoded
     std::int64_t min_handoff_tokens = 300;
     // 15    ms; cost of a handoff besides its time: the bytes moved and the batch slot
@@ -72,11 +72,10 @@
     double fetch_setup_ms = 10;
     double fetch_speed = 500;
     // 2     times unreported_ms; range of the random part of an engine's cost. Without
-    // it,
-    //       all VMs choose the engine that was idle in the last digests
-    double spread = 2;
-    bool   fetch = true;    // allow fetching cached parts from other engines
-    bool   handover = true; // allow handoffs while a decode engine could prefill
+    //       it, all VMs choose the engine that was idle in the last digests
+    double random_range = 2;
+    bool   fetch = true;         // allow fetching cached parts from other engines
+    bool   allow_handoff = true; // false: hand off only if no decode engine may prefill
 
     bool operator==(placement_options const&) const = default;
 };
@@ -98,7 +97,7 @@
     bool                  prefill_only = false; // prefill here, decode at another engine
     std::int64_t unread = 0;     // tokens to prefill there, as far as caches are known
     double       wait_ms = 0;    // until the prefill queued before it is done
-    double       prefill_ms = 0; // that its prefill and fetching take
+    double       prefill_ms = 0; // duration of its prefill and fetches
     backend_server const* fetch_from =
         nullptr; // its cached parts are fetched; null: none
 };
--- a/src/policy/policy_options.hpp
+++ b/src/policy/policy_options.hpp
@@ -79,7 +79,7 @@
 struct spending_options
 {
     std::int64_t fill_percent = 55;   // 55     planned use of engines, %
-    std::int64_t loss_percent = 85;   // 85     use allowed after the loss of one zone, %
+    std::int64_t loss_percent = 85;   // 85     use allowed after loss of a data centre, %
     std::int64_t release_ms = 20'000; // 20000  low demand required before a drain, ms
     std::int64_t cheap_price = 35;    // 35     of the full price, %
 
--- a/src/policy/quota_bucket.hpp
+++ b/src/policy/quota_bucket.hpp
@@ -112,7 +112,8 @@
     }
 
     /// Takes `units` and returns nothing, or returns the time after which they will be
-    /// available. That time counts from behind the callers refused before.
+    /// available. That time includes the wait of callers that were refused
+    /// before.
     std::optional<millis> take(std::int64_t units, boot_clock::time_point now)
     {
         fill(now);
--- a/src/policy/quota_owner.hpp
+++ b/src/policy/quota_owner.hpp
@@ -31,7 +31,7 @@
 {
     std::string  workspace;
     std::int64_t units = 0;
-    std::string  left; // a VM that replied to the sender that it stops; empty: none
+    std::string  left; // a VM whose reply said that it shuts down; empty: none
 
     auto operator<=>(quota_query const&) const = default;
 };
@@ -41,7 +41,7 @@
 {
     granted,
     over_quota, // nothing was taken
-    declined    // another VM owns the bucket, or this one stops
+    declined    // another VM owns the bucket, or this one shuts down
 };
 
 /// Reply to a query.
@@ -50,7 +50,7 @@
     quota_outcome outcome = quota_outcome::declined;
     millis        retry_after{0}; // over_quota only
     std::int64_t  left = 0;       // units left in the bucket, for logs
-    std::string   home;           // declined: the owner; empty: this VM stops
+    std::string   home;           // declined: the owner; empty: this VM shuts down
 
     auto operator<=>(quota_answer const&) const = default;
 };
--- a/src/policy/quota_queries.hpp
+++ b/src/policy/quota_queries.hpp
@@ -17,7 +17,7 @@
 enum class quota_reply
 {
     decided,  // granted, or over the quota
-    declined, // another VM owns the quota, or the queried VM stops
+    declined, // another VM owns the quota, or the queried VM shuts down
     silent    // no reply in time
 };
 
@@ -45,14 +45,15 @@
         return decided_;
     }
 
-    /// A VM that replied that it stops; empty: none.
+    /// A VM that replied that it is shutting down; empty: none.
     std::string const& left() const noexcept
     {
         return left_;
     }
 
     /// Records the result of the current query and chooses the next VM. `known_owner` is
-    /// the owner that a declining VM names; empty: the declining VM stops.
+    /// the owner that a declining VM names; empty: the declining VM is shutting
+    /// down.
     void take(quota_reply reply, std::string const& known_owner = {})
     {
         auto const queried = std::exchange(current_address_, {});
--- a/src/policy/retry.hpp
+++ b/src/policy/retry.hpp
@@ -42,9 +42,9 @@
 };
 
 /// Decides on one retry. A budget limits retries to a share of requests, so that the loss
-/// of a zone does not double the load on the remaining engines. Content in flight at a
-/// crash is a suspect and is retried only alone on an engine. If that engine crashes too,
-/// the content is treated as poison: no other request can have caused the crash.
+/// of a data centre does not double the load on the remaining engines. Content in flight
+/// at a crash is a suspect and is retried only alone on an engine. If that engine crashes
+/// too, the content is treated as poison: no other request can have caused the crash.
 retry_decision decide_retry(retry_input const& input, admission_options const& options);
 
 } // namespace marigoldcrank
--- a/src/policy/role_split.hpp
+++ b/src/policy/role_split.hpp
@@ -30,8 +30,7 @@
     //       seconds for which it takes an engine out of service
     double busy = 0.5;
     // 0.8   the same with colocated prefill: each role can take over work of the other,
-    // so
-    //       a change is worth it only if all engines are busy
+    //       so a change is worth it only if all engines are busy
     double busy_colocated = 0.8;
     // 0.8   of the load before; a change must bring the fuller role's load below it. A
     //       change takes an engine out of service for seconds, and a swing back would do
--- a/src/policy/server_health.hpp
+++ b/src/policy/server_health.hpp
@@ -85,8 +85,8 @@
         states_[server].published[source] = until;
     }
 
-    /// Servers that other VMs should avoid and for how long, from the sources up to
-    /// `widest`.
+    /// Servers that other VMs should avoid and for how long, for failures that
+    /// were observed at the sources up to `widest`.
     std::map<std::string, millis> updates(update_source          widest,
                                           boot_clock::time_point now) const
     {
--- a/src/policy/spending_plan.cpp
+++ b/src/policy/spending_plan.cpp
@@ -20,33 +20,34 @@
 
 /// Spreads `total` evenly over the data centres, within the limit of each.
 template <class Limit, class Assign>
-void spread(std::size_t zones, std::int64_t total, Limit&& limit, Assign&& assign)
+void spread(std::size_t data_centres, std::int64_t total, Limit&& limit, Assign&& assign)
 {
-    std::vector<std::int64_t> given(zones, 0);
+    std::vector<std::int64_t> given(data_centres, 0);
     bool                      progress = true;
     while (total > 0 && progress)
     {
         progress = false;
-        for (std::size_t zone = 0; zone < zones && total > 0; ++zone)
+        for (std::size_t data_centre = 0; data_centre < data_centres && total > 0;
+             ++data_centre)
         {
-            if (given[zone] < limit(zone))
+            if (given[data_centre] < limit(data_centre))
             {
-                ++given[zone];
+                ++given[data_centre];
                 --total;
                 progress = true;
             }
         }
     }
-    for (std::size_t zone = 0; zone < zones; ++zone)
+    for (std::size_t data_centre = 0; data_centre < data_centres; ++data_centre)
     {
-        assign(zone, given[zone]);
+        assign(data_centre, given[data_centre]);
     }
 }
 
 /// Totals over the data centres where orders can be given.
 struct totals
 {
-    std::int64_t zones = 0;
+    std::int64_t data_centres = 0;
     std::int64_t full_price_max = 0;
     std::int64_t cheap_max = 0;
     std::int64_t full_price_min = 0;
@@ -55,32 +56,33 @@
 totals totals_of(spending_input const& input)
 {
     totals sum;
-    for (std::size_t zone = 0; zone < input.most.size(); ++zone)
+    for (std::size_t data_centre = 0; data_centre < input.most.size(); ++data_centre)
     {
-        if (input.reachable[zone])
+        if (input.reachable[data_centre])
         {
-            ++sum.zones;
-            sum.full_price_max += input.most[zone].full_price;
-            sum.cheap_max += input.most[zone].cheap;
-            sum.full_price_min += std::min(input.least, input.most[zone].full_price);
+            ++sum.data_centres;
+            sum.full_price_max += input.most[data_centre].full_price;
+            sum.cheap_max += input.most[data_centre].cheap;
+            sum.full_price_min +=
+                std::min(input.least, input.most[data_centre].full_price);
         }
     }
     return sum;
 }
 
-std::int64_t cheap_limit(spending_input const& input, std::size_t zone)
+std::int64_t cheap_limit(spending_input const& input, std::size_t data_centre)
 {
-    return input.reachable[zone] ? input.most[zone].cheap : 0;
+    return input.reachable[data_centre] ? input.most[data_centre].cheap : 0;
 }
 
 /// Cheap servers of the data centre that gets the most of `cheap`. This is more than an
 /// even share where the limits differ.
-std::int64_t max_cheap_in_zone(spending_input const& input, std::int64_t cheap)
+std::int64_t max_cheap_per_data_centre(spending_input const& input, std::int64_t cheap)
 {
     std::int64_t most = 0;
     spread(
         input.most.size(), cheap,
-        [&](std::size_t zone) { return cheap_limit(input, zone); },
+        [&](std::size_t data_centre) { return cheap_limit(input, data_centre); },
         [&](std::size_t, std::int64_t count) { most = std::max(most, count); });
     return most;
 }
@@ -89,7 +91,7 @@
 std::int64_t full_price_needed(spending_input const& input, std::int64_t cheap,
                                totals const& sum, spending_plan const& plan)
 {
-    auto const left = cheap - max_cheap_in_zone(input, cheap);
+    auto const left = cheap - max_cheap_per_data_centre(input, cheap);
     return std::max({sum.full_price_min, plan.servers_for_load - cheap,
                      plan.servers_after_loss - left});
 }
@@ -122,20 +124,21 @@
         plan.short_of_servers = false;
     }
     plan.price = price_of(best);
-    auto const reachable = [&](std::size_t zone)
+    auto const reachable = [&](std::size_t data_centre)
     {
-        return bool{input.reachable[zone]};
+        return bool{input.reachable[data_centre]};
     };
     spread(
         plan.wanted.size(), best.full_price,
-        [&](std::size_t zone)
-        { return reachable(zone) ? input.most[zone].full_price : 0; },
-        [&](std::size_t zone, std::int64_t count)
-        { plan.wanted[zone].full_price = count; });
+        [&](std::size_t data_centre)
+        { return reachable(data_centre) ? input.most[data_centre].full_price : 0; },
+        [&](std::size_t data_centre, std::int64_t count)
+        { plan.wanted[data_centre].full_price = count; });
     spread(
         plan.wanted.size(), best.cheap,
-        [&](std::size_t zone) { return cheap_limit(input, zone); },
-        [&](std::size_t zone, std::int64_t count) { plan.wanted[zone].cheap = count; });
+        [&](std::size_t data_centre) { return cheap_limit(input, data_centre); },
+        [&](std::size_t data_centre, std::int64_t count)
+        { plan.wanted[data_centre].cheap = count; });
     return plan;
 }
 
@@ -143,12 +146,12 @@
 {
 void keep_present(spending_plan& plan, spending_input const& input)
 {
-    for (std::size_t zone = 0; zone < input.have.size(); ++zone)
+    for (std::size_t data_centre = 0; data_centre < input.have.size(); ++data_centre)
     {
-        plan.wanted[zone].full_price =
-            std::max(plan.wanted[zone].full_price, input.have[zone].full_price);
-        plan.wanted[zone].cheap =
-            std::max(plan.wanted[zone].cheap, input.have[zone].cheap);
+        plan.wanted[data_centre].full_price = std::max(
+            plan.wanted[data_centre].full_price, input.have[data_centre].full_price);
+        plan.wanted[data_centre].cheap =
+            std::max(plan.wanted[data_centre].cheap, input.have[data_centre].cheap);
     }
 }
 } // namespace
--- a/src/policy/spending_plan.hpp
+++ b/src/policy/spending_plan.hpp
@@ -42,7 +42,7 @@
     std::vector<server_count> wanted;
     std::int64_t              price = 0; // of all wanted servers; full price: 100 each
     std::int64_t              servers_for_load = 0; // servers that carry the load
-    std::int64_t servers_after_loss = 0;   // servers required after the loss of a zone
+    std::int64_t servers_after_loss = 0;   // servers required after loss of a data centre
     bool         short_of_servers = false; // the limits allow too few
 
     bool operator==(spending_plan const&) const = default;
--- a/src/policy/work_meter.hpp
+++ b/src/policy/work_meter.hpp
@@ -72,15 +72,15 @@
         prefill_.handoff_done(took);
     }
 
-    /// Records a colocated prefill: a decode engine has prefilled a prompt beside its
-    /// streams and given the first event.
+    /// Records a colocated prefill: a decode engine has prefilled a prompt besides
+    /// running its streams, and has returned the first event.
     void colocated_prefill_done(prefill_sample const& sample)
     {
         colocated_.read(sample);
     }
 
     /// Prefill at engines that do nothing else.
-    prefill_model const& reads() const noexcept
+    prefill_model const& dedicated() const noexcept
     {
         return prefill_;
     }
--- a/src/ports/backend_port.hpp
+++ b/src/ports/backend_port.hpp
@@ -1,9 +1,8 @@
 // backend_port: the calls to engines and services that the application makes, as a
 // concept.
 //
-// Index: 1 stream_event, 2 engine_call, 3 service_call, service_response, 4
-// event_verdict,
-//        5 backend_port
+// Index: 1 stream_event, 2 engine_call, 3 service_call, service_response,
+//        4 event_verdict, 5 backend_port
 #ifndef MARIGOLDCRANK_PORTS_BACKEND_PORT_HPP
 #define MARIGOLDCRANK_PORTS_BACKEND_PORT_HPP
 
--- a/src/serving/entry_state.cpp
+++ b/src/serving/entry_state.cpp
@@ -185,8 +185,8 @@
 {
     placement_options options;
     options.fetch = settings.fetch;
-    options.home = settings.home ? options.home : 0;
-    options.handover = settings.handover;
+    options.rendezvous_margin = settings.use_rendezvous ? options.rendezvous_margin : 0;
+    options.allow_handoff = settings.allow_handoff;
     return options;
 }
 
--- a/src/serving/model_placement.cpp
+++ b/src/serving/model_placement.cpp
@@ -113,7 +113,7 @@
 
 engine_costs model_placement::costs() const
 {
-    auto const& prefills = meter().reads();
+    auto const& prefills = meter().dedicated();
     auto const& colocated = meter().colocated();
     auto const& pauses = state_.pauses[admitted_.service_name];
     return {
