--- a/src/adapters/http_backend.cpp
+++ b/src/adapters/http_backend.cpp
@@ -76,9 +76,9 @@
     return fault == transport_fault::silent ? transport_fault::response_lost : fault;
 }
 
-/// A kept-alive connection can go silent for good while new ones work; the other idle
-/// connections of that server are then silent too. All of them are closed, so that the
-/// next attempt, also at this server, opens a new connection.
+/// A kept-alive connection can stop responding permanently while new ones work; the other
+/// idle connections of that server are then silent too. All of them are closed, so that
+/// the next attempt, also at this server, opens a new connection.
 void drop_idle_after_failure(http_client_pool& clients, httplib::Error error,
                              backend_server const& server)
 {
--- a/src/adapters/http_client_pool.cpp
+++ b/src/adapters/http_client_pool.cpp
@@ -85,7 +85,7 @@
 
 /// Servers are replaced all the time, and no request takes the clients of a server that
 /// is gone: without this sweep each would keep a descriptor for ever. Old connections may
-/// also have gone silent.
+/// also have stopped responding.
 void http_client_pool::evict_old(boot_clock::time_point now)
 {
     if (now - last_sweep_ < sweep_interval)
--- a/src/adapters/zmq_peers.cpp
+++ b/src/adapters/zmq_peers.cpp
@@ -53,7 +53,7 @@
 
 namespace
 {
-/// Heartbeats make ZeroMQ close and reopen a connection that has gone silent for good.
+/// Heartbeats make ZeroMQ close and reopen a connection that no longer delivers.
 void configure(zmq::socket_t& socket, settings const& options)
 {
     socket.set(zmq::sockopt::linger, 0);
--- a/src/app/model_parts.hpp
+++ b/src/app/model_parts.hpp
@@ -68,7 +68,7 @@
     shared_retry_budget&                   budget;
     worker_pool&                           cancels; // runs blocking cancel requests
     std::function<void(wire::usage_delta)> usage;
-    std::function<key_state(std::string const& key_id)> keys; // empty: all are good
+    std::function<key_state(std::string const& key_id)> keys; // empty: all are valid
     request_options                                     options;
 };
 
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -16,7 +16,7 @@
 
 // 1. Shared
 
-// 1e9  ms; above any real cost, so that suspects are chosen last
+// 1e9  ms; above any real cost, so that avoided servers are chosen last
 constexpr double avoided_cost = 1e9;
 
 /// Rendezvous hashing: all VMs rank the engines for a prompt part alike without messages.
--- a/src/serving/duty_worker.hpp
+++ b/src/serving/duty_worker.hpp
@@ -423,8 +423,8 @@
         state_.known_vms = static_cast<std::int64_t>(state_.usage_known.writers());
     }
 
-    /// Seals for the windows that are due: all counts are in or overdue, and no seal or
-    /// report exists.
+    /// Builds the seals of the windows that are due: all VMs have appended their counts
+    /// or are late with them, and no seal or report of the window exists.
     std::vector<duty_record> due_seals()
     {
         std::vector<duty_record> seals;
--- a/src/serving/shared_store.hpp
+++ b/src/serving/shared_store.hpp
@@ -52,7 +52,7 @@
 
     /// Sets whether other VMs query this one. When the VM that reads for hundreds of
     /// others is slow, all of them would find its records too old, read the store, use up
-    /// its bandwidth and go on like that. Only VMs that pass records on therefore enforce
+    /// its bandwidth and never recover. Only VMs that pass records on therefore enforce
     /// the maximum age; the others accept older records if no relay has newer ones.
     void passes_on(bool queried)
     {
