--- a/src/app/service_path.hpp
+++ b/src/app/service_path.hpp
@@ -1,7 +1,7 @@
 // Runs one call of a plain service, either repeatable or at most once.
 //
-// Index: 1 service_reply, 2 service_parts, 3 service_path: calls, 4 service_path: at most
-//        once, 5 service_path: attempts
+// Index: 1 service_reply, 2 service_parts, 3 service_path: calls,
+//        4 service_path: at most once, 5 service_path: attempts
 #ifndef MARIGOLDCRANK_APP_SERVICE_PATH_HPP
 #define MARIGOLDCRANK_APP_SERVICE_PATH_HPP
 
@@ -40,7 +40,7 @@
     metrics&                                            counters;
     idempotency_log<Log>&                               idempotency;
     std::function<void(wire::usage_delta)>              usage;
-    std::function<key_state(std::string const& key_id)> keys; // empty: all are good
+    std::function<key_state(std::string const& key_id)> keys; // empty: all are valid
     std::string                                         data_centre;
     std::int64_t                                        max_attempts = 3;
 };
--- a/src/policy/role_planner.cpp
+++ b/src/policy/role_planner.cpp
@@ -43,8 +43,8 @@
 // 1. Number of prefill engines
 
 /// Raises the number of prefill engines at once. Lowers it only after the need has stayed
-/// low for the smoothing time, because the need is as likely to rise
-/// again as to fall further.
+/// low for the smoothing time, because the need is as likely to rise again as to fall
+/// further.
 std::int64_t role_planner::plan_prefill(engine_role_plan& plan, role_demand const& demand,
                                         std::int64_t usable)
 {
