--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -1,4 +1,4 @@
-// Placement by cost in milliseconds until the prompt is read.
+// Placement by cost, in milliseconds until the prompt is prefilled.
 //
 // Index: 1 shared, 2 plain, 3 model
 #include "policy/placement.hpp"
--- a/src/serving/digest_link.cpp
+++ b/src/serving/digest_link.cpp
@@ -1,4 +1,4 @@
-// Uses one PUB and one SUB socket.
+// Sends digests over one PUB socket and receives them over one SUB socket.
 //
 // A message has two frames: one byte for the scope, which is the subscription prefix, and
 // the encoded digest.
--- a/src/serving/handle_release.cpp
+++ b/src/serving/handle_release.cpp
@@ -1,4 +1,4 @@
-// Sends the release request in a detached coroutine.
+// Sends the request that releases a KV cache, in a detached coroutine.
 #include "serving/handle_release.hpp"
 
 #include <boost/asio/co_spawn.hpp>
--- a/src/serving/record_link.cpp
+++ b/src/serving/record_link.cpp
@@ -1,4 +1,5 @@
-// Replies on a ROUTER socket, and queries each relay on a DEALER socket.
+// Queries for records: replies on a ROUTER socket, and queries each relay on a DEALER
+// socket.
 //
 // Index: 1 relays and queries, 2 state: querying, replying, 3 record_link
 #include "serving/record_link.hpp"
--- a/src/serving/topic_mirror.cpp
+++ b/src/serving/topic_mirror.cpp
@@ -1,4 +1,4 @@
-// Merges and trims runs of records.
+// Merges read chunks into a topic's copy, and trims it to its limits.
 #include "serving/topic_mirror.hpp"
 
 #include <algorithm>
