--- a/bench/soak/soak_load.cpp
+++ b/bench/soak/soak_load.cpp
@@ -116,28 +116,28 @@
 {
     call_record         record{.mark = "request " + std::to_string(++next_) + " ",
                                .workspace = north ? "north" : "south"};
-    tests::chat_request question{.workspace = record.workspace,
-                                 .prompt = record.mark,
-                                 .tokens = 30,
-                                 .stream = source() % 4 != 0,
-                                 .timeout_s = call_timeout_s};
+    tests::chat_request chat{.workspace = record.workspace,
+                             .prompt = record.mark,
+                             .tokens = 30,
+                             .stream = source() % 4 != 0,
+                             .timeout_s = call_timeout_s};
     if (!north)
     {
-        question.prompt += std::string(2000 + source() % 4000, 'x');
-        question.tokens = source() % 5 == 0 ? 300 : 10;
+        chat.prompt += std::string(2000 + source() % 4000, 'x');
+        chat.tokens = source() % 5 == 0 ? 300 : 10;
     }
     if (north && source() % spare_key_share == 0)
     {
         record.key = static_cast<int>(source() % keys_.count());
-        question.key = keys_.bearer(static_cast<std::size_t>(record.key));
+        chat.key = keys_.bearer(static_cast<std::size_t>(record.key));
     }
     record.node = pick_node(source);
-    record.tokens = static_cast<std::uint64_t>(question.tokens);
+    record.tokens = static_cast<std::uint64_t>(chat.tokens);
     record.begun = boot_clock::now();
-    auto const response = tests::call_model(system_, record.node, question);
+    auto const response = tests::call_model(system_, record.node, chat);
     bool const in_time =
         boot_clock::now() - record.begun < std::chrono::seconds(call_timeout_s);
-    record.outcome = response.whole(question)     ? call_outcome::complete
+    record.outcome = response.whole(chat)         ? call_outcome::complete
                      : response.ended             ? call_outcome::wrong
                      : response.fate == "not_run" ? call_outcome::not_run
                      : !response.fate.empty()     ? call_outcome::unknown
--- a/tests/concurrent/usage_handoff_test.cpp
+++ b/tests/concurrent/usage_handoff_test.cpp
@@ -124,7 +124,7 @@
                 recorder.flush(millis{1000});
             }
         });
-    std::atomic<int>         kept{0};
+    std::atomic<int>         recorded{0};
     std::vector<std::thread> servers;
     for (int index = 0; index < threads; ++index)
     {
@@ -136,7 +136,7 @@
                     wire::usage_delta delta;
                     delta.set_workspace("north");
                     delta.set_output_tokens(1);
-                    kept += recorder.add(delta) ? 1 : 0;
+                    recorded += recorder.add(delta) ? 1 : 0;
                 }
             });
     }
@@ -148,7 +148,7 @@
     done = true;
     peer.join();
     flusher.join();
-    EXPECT_EQ(kept, threads * deltas);
+    EXPECT_EQ(recorded, threads * deltas);
     store.with_ledger(
         [&](ledger const& value)
         {
--- a/tests/failure/at_most_once_test.cpp
+++ b/tests/failure/at_most_once_test.cpp
@@ -37,22 +37,22 @@
     {
         headers.emplace("Idempotency-Key", key);
     }
-    auto const answer =
+    auto const response =
         client.Post("/services/ordering/orders", headers, body, "application/json");
-    if (!answer)
+    if (!response)
     {
         return {};
     }
-    auto const parsed = json::parse(answer->body, nullptr, false);
+    auto const parsed = json::parse(response->body, nullptr, false);
     auto const error =
         parsed.is_object() ? parsed.value("error", json::object()) : json();
-    return {answer->status,
+    return {response->status,
             error.is_object() ? error.value("fate", "") : "",
             error.is_object() ? error.value("type", "") : "",
-            answer->get_header_value("X-Request-Id"),
-            answer->body,
-            answer->get_header_value("X-Earlier-Result"),
-            answer->get_header_value("Retry-After")};
+            response->get_header_value("X-Request-Id"),
+            response->body,
+            response->get_header_value("X-Earlier-Result"),
+            response->get_header_value("Retry-After")};
 }
 
 json runs(fleet const& system)
@@ -318,10 +318,10 @@
     httplib::Client client("127.0.0.1", system.node_port(1));
     auto            headers = bearer(system, "south");
     headers.emplace("Idempotency-Key", "order-1");
-    auto const answer = client.Post("/services/ordering/orders", headers,
-                                    "{\"copies\":30}", "application/json");
-    ASSERT_TRUE(answer);
-    EXPECT_FALSE(answer->has_header("X-Earlier-Result"));
+    auto const response = client.Post("/services/ordering/orders", headers,
+                                      "{\"copies\":30}", "application/json");
+    ASSERT_TRUE(response);
+    EXPECT_FALSE(response->has_header("X-Earlier-Result"));
     EXPECT_EQ(runs(system).size(), 2U);
 }
 
@@ -366,10 +366,10 @@
     system.service(1).wait(5000);
     system.fault(system.service_port(0), {{"kind", "drop_answer"}});
     httplib::Client client("127.0.0.1", system.node_port(0));
-    auto const      answer = client.Get("/services/ordering/status", bearer(system));
-    ASSERT_TRUE(answer);
+    auto const      response = client.Get("/services/ordering/status", bearer(system));
+    ASSERT_TRUE(response);
     EXPECT_EQ(system.received(system.service_port(0), "call").size(), 1U);
-    EXPECT_EQ(json::parse(answer->body)["error"]["fate"], "outcome_unknown");
+    EXPECT_EQ(json::parse(response->body)["error"]["fate"], "outcome_unknown");
 }
 
 } // namespace
--- a/tests/failure/configuration_test.cpp
+++ b/tests/failure/configuration_test.cpp
@@ -60,10 +60,10 @@
 {
     httplib::Client client("127.0.0.1", system.node_port(node));
     client.set_read_timeout(30);
-    auto const answer = client.Post(
+    auto const response = client.Post(
         "/v1/completions", {{"Authorization", "Bearer " + system.key("north")}},
         R"({"model":"wording","prompt":"x","max_tokens":2})", "application/json");
-    return answer ? answer->status : 0;
+    return response ? response->status : 0;
 }
 
 void append_raw(fleet const& system, std::string const& text)
@@ -92,10 +92,10 @@
     // began.
     for (auto const* id : {"second", "third"})
     {
-        auto const answer =
+        auto const response =
             system.apply(1, variant(system, 1), revision_of(system, 1), id);
-        ASSERT_EQ(answer["outcome"], "accepted");
-        EXPECT_TRUE(in_force(system, {0, 1, 2, 3, 4, 5, 6, 7, 8}, answer["revision"]));
+        ASSERT_EQ(response["outcome"], "accepted");
+        EXPECT_TRUE(in_force(system, {0, 1, 2, 3, 4, 5, 6, 7, 8}, response["revision"]));
     }
     EXPECT_EQ(status_of_call(system, 0), 200);
 }
@@ -264,10 +264,10 @@
     append_raw(system, R"({"record_id":"x","something_new":{"a":[1,2]}})");
     append_raw(system, R"({"record_id":"y","ledger":{"through_offset":"999999"}})");
     append_raw(system, R"({"record_id":"z","usage":{"node":"n","deltas":[{}]}})");
-    auto const answer =
+    auto const response =
         system.apply(1, variant(system, 1), revision_of(system, 1), "second");
-    EXPECT_EQ(answer["outcome"], "accepted");
-    EXPECT_TRUE(in_force(system, {0, 1, 2}, answer["revision"]));
+    EXPECT_EQ(response["outcome"], "accepted");
+    EXPECT_TRUE(in_force(system, {0, 1, 2}, response["revision"]));
     EXPECT_EQ(status_of_call(system, 2), 200);
 }
 
@@ -333,9 +333,9 @@
     {
         EXPECT_EQ(system.admin(node, "/admin/history")["changes"].size(), 1U);
     }
-    auto const answer = system.apply(2, variant(system, 1), revision, "second");
-    EXPECT_EQ(answer["outcome"], "accepted");
-    EXPECT_TRUE(in_force(system, {0, 1, 2}, answer["revision"]));
+    auto const response = system.apply(2, variant(system, 1), revision, "second");
+    EXPECT_EQ(response["outcome"], "accepted");
+    EXPECT_TRUE(in_force(system, {0, 1, 2}, response["revision"]));
 }
 
 /// As above, but every record expires before the first snapshot is written. The whole log
--- a/tests/failure/cuts_test.cpp
+++ b/tests/failure/cuts_test.cpp
@@ -30,13 +30,13 @@
 }
 
 std::uint64_t whole_tokens(std::vector<model_response> const& answers,
-                           chat_request const&                question)
+                           chat_request const&                chat)
 {
     std::uint64_t tokens = 0;
-    for (auto const& answer : answers)
+    for (auto const& response : answers)
     {
-        EXPECT_TRUE(answer.whole(question)) << answer.status << " " << answer.fate;
-        tokens += static_cast<std::uint64_t>(question.tokens);
+        EXPECT_TRUE(response.whole(chat)) << response.status << " " << response.fate;
+        tokens += static_cast<std::uint64_t>(chat.tokens);
     }
     return tokens;
 }
@@ -51,8 +51,8 @@
     options.services = 0;
     options.relayed = true;
     fleet              system(options);
-    chat_request const question{.tokens = 40};
-    caller_group       load(system, {0, 1, 2}, 9, question);
+    chat_request const chat{.tokens = 40};
+    caller_group       load(system, {0, 1, 2}, 9, chat);
     ASSERT_TRUE(eventually([&] { return load.answered() >= 9; }));
     partition_first_data_centre(system, true);
     auto const isolated = [&]
@@ -67,11 +67,11 @@
     EXPECT_EQ(system.admin(0, "/admin/status")["backend_servers"].size(), 3U);
     partition_first_data_centre(system, false);
     ASSERT_TRUE(eventually([&] { return !isolated(); }));
-    auto tokens = whole_tokens(load.stop(), question);
+    auto tokens = whole_tokens(load.stop(), chat);
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
     // One more call, so that a duplicate batch that arrives later would show in a later
     // window.
-    EXPECT_TRUE(call_model(system, 0, question).whole(question));
+    EXPECT_TRUE(call_model(system, 0, chat).whole(chat));
     tokens += 40;
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
 }
@@ -84,10 +84,10 @@
     system.fault(system.platform_port(), {{"kind", "outage"}});
     ASSERT_TRUE(eventually(
         [&] { return system.received(system.platform_port(), "append").size() > 3; }));
-    chat_request const question;
+    chat_request const chat;
     for (int index = 0; index < 30; ++index)
     {
-        EXPECT_TRUE(call_model(system, index % 3, question).whole(question));
+        EXPECT_TRUE(call_model(system, index % 3, chat).whole(chat));
     }
 }
 
@@ -97,9 +97,9 @@
 TEST(cuts, a_paused_entry_vm_harms_no_other_and_goes_on)
 {
     fleet              system;
-    chat_request const question{.tokens = 200};
-    caller_group       paused(system, {0}, 4, question);
-    caller_group       others(system, {1, 2}, 8, question);
+    chat_request const chat{.tokens = 200};
+    caller_group       paused(system, {0}, 4, chat);
+    caller_group       others(system, {1, 2}, 8, chat);
     ASSERT_TRUE(eventually([&] { return paused.answered() >= 4; }));
     system.node(0).signal(SIGSTOP);
     auto const answered = others.answered();
@@ -107,8 +107,8 @@
     system.node(0).signal(SIGCONT);
     auto const before = paused.answered();
     ASSERT_TRUE(eventually([&] { return paused.answered() >= before + 8; }));
-    auto tokens = whole_tokens(paused.stop(), question);
-    tokens += whole_tokens(others.stop(), question);
+    auto tokens = whole_tokens(paused.stop(), chat);
+    tokens += whole_tokens(others.stop(), chat);
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
 }
 
@@ -117,8 +117,8 @@
 TEST(cuts, a_paused_engine_costs_a_pause_and_no_token)
 {
     fleet              system;
-    chat_request const question{.tokens = 300};
-    caller_group       load(system, {0, 1, 2}, 9, question);
+    chat_request const chat{.tokens = 300};
+    caller_group       load(system, {0, 1, 2}, 9, chat);
     ASSERT_TRUE(eventually([&] { return load.answered() >= 9; }));
     system.engine(0).signal(SIGSTOP);
     auto answered = load.answered();
@@ -126,7 +126,7 @@
     system.engine(0).signal(SIGCONT);
     answered = load.answered();
     ASSERT_TRUE(eventually([&] { return load.answered() >= answered + 27; }));
-    auto const tokens = whole_tokens(load.stop(), question);
+    auto const tokens = whole_tokens(load.stop(), chat);
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) == tokens; }));
 }
 
@@ -135,17 +135,17 @@
 TEST(cuts, a_killed_entry_vm_harms_no_other)
 {
     fleet              system;
-    chat_request const question{.tokens = 200};
-    caller_group       killed(system, {0}, 8, question);
-    caller_group       others(system, {1, 2}, 8, question);
+    chat_request const chat{.tokens = 200};
+    caller_group       killed(system, {0}, 8, chat);
+    caller_group       others(system, {1, 2}, 8, chat);
     ASSERT_TRUE(eventually([&] { return killed.answered() >= 8; }));
     system.node(0).signal(SIGKILL);
     auto const answered = others.answered();
     ASSERT_TRUE(eventually([&] { return others.answered() >= answered + 48; }));
-    whole_tokens(others.stop(), question);
-    for (auto const& answer : killed.stop())
+    whole_tokens(others.stop(), chat);
+    for (auto const& response : killed.stop())
     {
-        EXPECT_TRUE(answer.whole(question) || !answer.ended);
+        EXPECT_TRUE(response.whole(chat) || !response.ended);
     }
 }
 
--- a/tests/failure/drains_test.cpp
+++ b/tests/failure/drains_test.cpp
@@ -19,8 +19,8 @@
 int ready_status(fleet const& system, int node)
 {
     httplib::Client client("127.0.0.1", system.node_port(node));
-    auto const      answer = client.Get("/readyz");
-    return answer ? answer->status : 0;
+    auto const      response = client.Get("/readyz");
+    return response ? response->status : 0;
 }
 
 std::size_t generated_at(fleet const& system, int engine)
@@ -61,8 +61,8 @@
     fleet_options options;
     options.node_settings["drain_notice_ms"] = "3000";
     fleet              system(options);
-    chat_request const question{.tokens = 200};
-    caller_group       load(system, {0}, 12, question);
+    chat_request const chat{.tokens = 200};
+    caller_group       load(system, {0}, 12, chat);
     ASSERT_TRUE(eventually([&] { return load.answered() >= 12; }));
     // Outlasts the notice, so that the node refuses calls for a while before it stops.
     chat_request const longest{.tokens = 3000};
@@ -72,26 +72,26 @@
         [&] { return system.admin(0, "/admin/status").value("inflight", 0) > 12; }));
     system.node(0).signal(SIGTERM);
     EXPECT_TRUE(eventually([&] { return ready_status(system, 0) == 503; }));
-    auto const late = call_model(system, 0, question);
-    EXPECT_TRUE(late.whole(question));
+    auto const late = call_model(system, 0, chat);
+    EXPECT_TRUE(late.whole(chat));
     EXPECT_EQ(late.connection, "close");
     auto       last = late;
     bool const refused = eventually(
         [&]
         {
-            last = call_model(system, 0, question);
-            return !last.whole(question);
+            last = call_model(system, 0, chat);
+            return !last.whole(chat);
         });
     EXPECT_TRUE(refused);
     EXPECT_EQ(last.fate, "not_run");
     long_call.join();
     EXPECT_EQ(system.node(0).wait(20000), 0);
     std::uint64_t tokens = 3000;
-    for (auto const& answer : load.stop())
+    for (auto const& response : load.stop())
     {
-        bool const gone = answer.status == 0 && answer.text.empty();
-        EXPECT_TRUE(answer.whole(question) || answer.fate == "not_run" || gone);
-        tokens += answer.whole(question) ? 200 : 0;
+        bool const gone = response.status == 0 && response.text.empty();
+        EXPECT_TRUE(response.whole(chat) || response.fate == "not_run" || gone);
+        tokens += response.whole(chat) ? 200 : 0;
     }
     EXPECT_TRUE(eventually([&] { return reported_tokens(system) >= tokens; }));
 }
@@ -115,9 +115,9 @@
     drain["drained"] = false;
     EXPECT_EQ(system.admin_post(2, "/admin/servers/drain", drain)["outcome"], "accepted");
     EXPECT_TRUE(eventually([&] { return generated_at(system, 0) > before; }));
-    for (auto const& answer : load.stop())
+    for (auto const& response : load.stop())
     {
-        EXPECT_TRUE(answer.whole(slow));
+        EXPECT_TRUE(response.whole(slow));
     }
 }
 
@@ -151,9 +151,9 @@
     options.node_settings["usage_flush_ms"] = "60000";
     options.node_settings["drain_ms"] = "3000";
     fleet              system(options);
-    chat_request const question;
-    EXPECT_TRUE(call_model(system, 0, question).whole(question));
-    EXPECT_TRUE(call_model(system, 1, question).whole(question));
+    chat_request const chat;
+    EXPECT_TRUE(call_model(system, 0, chat).whole(chat));
+    EXPECT_TRUE(call_model(system, 1, chat).whole(chat));
     system.fault(system.platform_port(), {{"kind", "outage"}, {"from", "node-0"}});
     system.node(0).signal(SIGTERM);
     system.node(1).signal(SIGTERM);
@@ -192,10 +192,10 @@
     system.fault(system.engine_port(0), {{"kind", "leaving"}});
     ASSERT_TRUE(leaving_everywhere(system, "engine-0", true));
     auto const         before = generated_at(system, 0);
-    chat_request const question;
+    chat_request const chat;
     for (int index = 0; index < 12; ++index)
     {
-        EXPECT_TRUE(call_model(system, index % 3, question).whole(question));
+        EXPECT_TRUE(call_model(system, index % 3, chat).whole(chat));
     }
     EXPECT_EQ(generated_at(system, 0), before);
 }
@@ -205,18 +205,18 @@
 TEST(drains, a_zone_reclaimed_at_once_loses_no_stream)
 {
     fleet              system({.engines = 6});
-    chat_request const question{.tokens = 400};
-    caller_group       load(system, {0, 1, 2}, 24, question);
+    chat_request const chat{.tokens = 400};
+    caller_group       load(system, {0, 1, 2}, 24, chat);
     ASSERT_TRUE(eventually(
         [&] { return generated_at(system, 0) > 3 && generated_at(system, 3) > 3; }));
     system.engine(0).signal(SIGKILL);
     system.engine(3).signal(SIGKILL);
     auto const answered = load.answered();
     ASSERT_TRUE(eventually([&] { return load.answered() >= answered + 48; }));
-    for (auto const& answer : load.stop())
+    for (auto const& response : load.stop())
     {
-        EXPECT_TRUE(answer.whole(question))
-            << answer.status << " " << answer.fate << " " << answer.text.size();
+        EXPECT_TRUE(response.whole(chat))
+            << response.status << " " << response.fate << " " << response.text.size();
     }
 }
 
--- a/tests/failure/keys_test.cpp
+++ b/tests/failure/keys_test.cpp
@@ -51,8 +51,8 @@
 
     int status()
     {
-        auto const answer = call();
-        return answer ? answer->status : 0;
+        auto const response = call();
+        return response ? response->status : 0;
     }
 
 private:
@@ -163,10 +163,10 @@
                 { return !system.received(system.engine_port(0), "generate").empty(); }));
             EXPECT_EQ(withdraw(system, 0, false), "withdrawn");
         });
-    auto const answer = caller.call(100);
+    auto const response = caller.call(100);
     withdrawal.join();
-    ASSERT_TRUE(answer);
-    EXPECT_TRUE(contains(answer->body, "data: [DONE]"));
+    ASSERT_TRUE(response);
+    EXPECT_TRUE(contains(response->body, "data: [DONE]"));
     EXPECT_EQ(caller.status(), 401);
     EXPECT_TRUE(system.received(system.engine_port(0), "cancel").empty());
 }
@@ -186,11 +186,11 @@
                 { return !system.received(system.engine_port(0), "generate").empty(); }));
             EXPECT_EQ(withdraw(system, 0, true), "withdrawn");
         });
-    auto const answer = caller.call(400);
+    auto const response = caller.call(400);
     withdrawal.join();
-    ASSERT_TRUE(answer);
-    EXPECT_FALSE(contains(answer->body, "data: [DONE]"));
-    EXPECT_TRUE(contains(answer->body, "key_withdrawn"));
+    ASSERT_TRUE(response);
+    EXPECT_FALSE(contains(response->body, "data: [DONE]"));
+    EXPECT_TRUE(contains(response->body, "key_withdrawn"));
     EXPECT_TRUE(eventually(
         [&] { return !system.received(system.engine_port(0), "cancel").empty(); }));
 }
--- a/tests/failure/orders_roles_test.cpp
+++ b/tests/failure/orders_roles_test.cpp
@@ -56,9 +56,9 @@
 int interrupted_streams(fleet const& system, int engine)
 {
     httplib::Client client("127.0.0.1", system.engine_port(engine));
-    auto const      answer = client.Get("/control/generated");
+    auto const      response = client.Get("/control/generated");
     int             interrupted = 0;
-    for (auto const& entry : json::parse(answer->body))
+    for (auto const& entry : json::parse(response->body))
     {
         interrupted +=
             entry["resume_from"].get<int>() + entry["output_tokens"].get<int>() <
--- a/tests/failure/orders_vms_test.cpp
+++ b/tests/failure/orders_vms_test.cpp
@@ -150,8 +150,8 @@
 std::int64_t running_at(int port)
 {
     httplib::Client client("127.0.0.1", port);
-    auto const      answer = client.Get("/load");
-    return json::parse(answer->body)["running"].get<std::int64_t>();
+    auto const      response = client.Get("/load");
+    return json::parse(response->body)["running"].get<std::int64_t>();
 }
 
 /// Each data centre has one server too many. The platform removes a server as soon as it
--- a/tests/failure/poison_test.cpp
+++ b/tests/failure/poison_test.cpp
@@ -62,15 +62,15 @@
         crashed += system.engine(engine).running() ? 0 : 1;
     }
     EXPECT_EQ(crashed, 2);
-    for (auto const& answer : sent)
+    for (auto const& response : sent)
     {
-        EXPECT_EQ(answer.error["type"], "poison") << answer.body;
-        EXPECT_EQ(answer.error["fate"], "final");
+        EXPECT_EQ(response.error["type"], "poison") << response.body;
+        EXPECT_EQ(response.error["fate"], "final");
     }
-    for (auto const& answer : other_responses)
+    for (auto const& response : other_responses)
     {
-        EXPECT_TRUE(answer.done) << answer.body.substr(0, 300);
-        EXPECT_EQ(answer.token_count, 40);
+        EXPECT_TRUE(response.done) << response.body.substr(0, 300);
+        EXPECT_EQ(response.token_count, 40);
     }
 }
 
@@ -91,8 +91,8 @@
             return metrics &&
                    metrics->body.find("poison_suspects 1") != std::string::npos;
         }));
-    auto const answer = ask(system, 2, {.tokens = 8, .prompt = "the cursed bundle"});
-    EXPECT_EQ(answer.error["type"], "poison");
+    auto const response = ask(system, 2, {.tokens = 8, .prompt = "the cursed bundle"});
+    EXPECT_EQ(response.error["type"], "poison");
     int crashed = 0;
     for (int engine = 0; engine < 4; ++engine)
     {
@@ -133,12 +133,13 @@
         caller.join();
     }
     burst_cost cost{.admitted = count};
-    for (auto const& answer : answers)
+    for (auto const& response : answers)
     {
-        cost.complete += answer.done ? 1 : 0;
-        cost.slowest_ms = std::max(cost.slowest_ms, static_cast<int>(answer.duration_ms));
-        EXPECT_TRUE(answer.done || !answer.error.empty()) << answer.body;
-        EXPECT_TRUE(answer.done || answer.error["retry_after"].get<int>() > 0);
+        cost.complete += response.done ? 1 : 0;
+        cost.slowest_ms =
+            std::max(cost.slowest_ms, static_cast<int>(response.duration_ms));
+        EXPECT_TRUE(response.done || !response.error.empty()) << response.body;
+        EXPECT_TRUE(response.done || response.error["retry_after"].get<int>() > 0);
     }
     for (int engine = 0; engine < engines; ++engine)
     {
--- a/tests/failure/service_targets_test.cpp
+++ b/tests/failure/service_targets_test.cpp
@@ -19,15 +19,15 @@
         {"model", "wording"}, {"prompt", "a line for Noor"}, {"max_tokens", 8}};
     httplib::Headers headers{{"Authorization", "Bearer " + system.key("north")}};
     client.set_read_timeout(30);
-    auto const answer =
+    auto const response =
         client.Post("/v1/completions", headers, body.dump(), "application/json");
-    return answer ? answer->status : 0;
+    return response ? response->status : 0;
 }
 
 json verdict(fleet const& system)
 {
-    auto const answer = system.admin(0, "/admin/targets");
-    for (auto const& each : answer.value("targets", json::array()))
+    auto const response = system.admin(0, "/admin/targets");
+    for (auto const& each : response.value("targets", json::array()))
     {
         if (each["workspace"] == "north")
         {
--- a/tests/failure/shared_limits_test.cpp
+++ b/tests/failure/shared_limits_test.cpp
@@ -60,14 +60,14 @@
     {
         httplib::Client client("127.0.0.1", system.node_port(call % 3));
         client.set_read_timeout(30);
-        auto const answer =
+        auto const response =
             client.Post("/v1/completions", headers, body.dump(), "application/json");
-        ASSERT_TRUE(answer);
-        if (answer->status != 200)
+        ASSERT_TRUE(response);
+        if (response->status != 200)
         {
             ++refused;
-            EXPECT_EQ(json::parse(answer->body)["error"]["fate"], "not_run");
-            EXPECT_TRUE(answer->has_header("Retry-After"));
+            EXPECT_EQ(json::parse(response->body)["error"]["fate"], "not_run");
+            EXPECT_TRUE(response->has_header("Retry-After"));
         }
     }
     auto const seconds =
--- a/tests/failure/silent_connections_test.cpp
+++ b/tests/failure/silent_connections_test.cpp
@@ -42,9 +42,9 @@
         caller.join();
     }
     system.engine_relay(0).silence_open();
-    chat_request const question;
-    EXPECT_TRUE(call_model(system, 0, question).whole(question));
-    EXPECT_TRUE(call_model(system, 0, question).whole(question));
+    chat_request const chat;
+    EXPECT_TRUE(call_model(system, 0, chat).whole(chat));
+    EXPECT_TRUE(call_model(system, 0, chat).whole(chat));
 }
 
 // The connection to the only engine becomes silent during a stream. The caller sees a
@@ -52,17 +52,17 @@
 TEST(silent_connections, a_stream_goes_on_at_the_same_engine_over_a_new_one)
 {
     fleet              system(one_engine());
-    chat_request const question{.tokens = 400};
+    chat_request const chat{.tokens = 400};
     std::atomic<int>   parts{0};
-    auto const         answer = call_model(system, 0, question,
-                                           [&]
-                                           {
-                                       if (++parts == 5)
-                                       {
-                                           system.engine_relay(0).silence_open();
-                                       }
-                                   });
-    EXPECT_TRUE(answer.whole(question));
+    auto const         response = call_model(system, 0, chat,
+                                             [&]
+                                             {
+                                         if (++parts == 5)
+                                         {
+                                             system.engine_relay(0).silence_open();
+                                         }
+                                     });
+    EXPECT_TRUE(response.whole(chat));
     EXPECT_EQ(system.received(system.engine_port(0), "generate").size(), 2U);
 }
 
@@ -110,16 +110,15 @@
     tcp_relay                between(port, system.node_port(0));
     chat_request const       endless{.tokens = 1'000'000, .timeout_s = 60, .port = port};
     std::vector<std::thread> stalled;
-    chat_request const       question;
+    chat_request const       chat;
     ASSERT_TRUE(eventually(
         [&]
         {
             stalled.emplace_back([&] { call_model(system, 0, endless); });
-            return call_model(system, 0, question).status == 503;
+            return call_model(system, 0, chat).status == 503;
         }));
     between.silence_open();
-    EXPECT_TRUE(
-        eventually([&] { return call_model(system, 0, question).whole(question); }));
+    EXPECT_TRUE(eventually([&] { return call_model(system, 0, chat).whole(chat); }));
     EXPECT_TRUE(eventually(
         [&] { return system.received(system.engine_port(0), "cancel").size() >= 1; }));
     between.cut(true);
@@ -186,13 +185,13 @@
         callers.emplace_back(
             [&]
             {
-                chat_request const question{.tokens = 40};
+                chat_request const chat{.tokens = 40};
                 while (!over)
                 {
-                    auto const answer = call_model(system, 0, question);
-                    EXPECT_TRUE(answer.whole(question) || !answer.fate.empty())
-                        << answer.status;
-                    refused += answer.whole(question) ? 0 : 1;
+                    auto const response = call_model(system, 0, chat);
+                    EXPECT_TRUE(response.whole(chat) || !response.fate.empty())
+                        << response.status;
+                    refused += response.whole(chat) ? 0 : 1;
                 }
             });
     }
@@ -216,8 +215,8 @@
     EXPECT_TRUE(eventually([&] { return status("own_running") == 0; }));
     EXPECT_EQ(process_count(pid, "task"), threads);
     EXPECT_TRUE(eventually([&] { return process_count(pid, "fd") < 60; }));
-    chat_request const question;
-    EXPECT_TRUE(call_model(system, 0, question).whole(question));
+    chat_request const chat;
+    EXPECT_TRUE(call_model(system, 0, chat).whole(chat));
     RecordProperty("refused", refused);
 }
 
--- a/tests/failure/thin_path_test.cpp
+++ b/tests/failure/thin_path_test.cpp
@@ -27,12 +27,12 @@
 {
     fleet           system;
     httplib::Client client("127.0.0.1", system.node_port(1));
-    auto const      answer = client.Post("/v1/chat/completions", bearer(system),
-                                         completion_body(true).dump(), "application/json");
-    ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->status, 200);
-    EXPECT_NE(answer->body.find("\"completion_tokens\":8"), std::string::npos);
-    EXPECT_NE(answer->body.find("data: [DONE]"), std::string::npos);
+    auto const      response = client.Post("/v1/chat/completions", bearer(system),
+                                           completion_body(true).dump(), "application/json");
+    ASSERT_TRUE(response);
+    EXPECT_EQ(response->status, 200);
+    EXPECT_NE(response->body.find("\"completion_tokens\":8"), std::string::npos);
+    EXPECT_NE(response->body.find("data: [DONE]"), std::string::npos);
     EXPECT_TRUE(eventually([&] { return reported_tokens(system, "north") == 8; }));
 }
 
@@ -42,10 +42,10 @@
     httplib::Client client("127.0.0.1", system.node_port(0));
     auto            headers = bearer(system);
     headers.emplace("Idempotency-Key", "order-1");
-    auto const answer = client.Post("/services/ordering/orders", headers,
-                                    "{\"copies\":30}", "application/json");
-    ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->status, 200);
+    auto const response = client.Post("/services/ordering/orders", headers,
+                                      "{\"copies\":30}", "application/json");
+    ASSERT_TRUE(response);
+    EXPECT_EQ(response->status, 200);
     EXPECT_EQ(system.received(system.service_port(0), "call").size(), 1U);
 }
 
@@ -53,13 +53,13 @@
 {
     fleet           system;
     httplib::Client client("127.0.0.1", system.node_port(2));
-    auto const      answer = client.Post("/v1/chat/completions",
-                                         {{"Authorization", "Bearer mgc_north-1_wrong"}},
-                                         completion_body(false).dump(), "application/json");
-    ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->status, 401);
-    EXPECT_EQ(json::parse(answer->body)["error"]["fate"], "not_run");
-    EXPECT_TRUE(answer->has_header("Retry-After"));
+    auto const      response = client.Post("/v1/chat/completions",
+                                           {{"Authorization", "Bearer mgc_north-1_wrong"}},
+                                           completion_body(false).dump(), "application/json");
+    ASSERT_TRUE(response);
+    EXPECT_EQ(response->status, 401);
+    EXPECT_EQ(json::parse(response->body)["error"]["fate"], "not_run");
+    EXPECT_TRUE(response->has_header("Retry-After"));
     EXPECT_TRUE(system.received(system.engine_port(0), "generate").empty());
 }
 
--- a/tests/failure/usage_audit_test.cpp
+++ b/tests/failure/usage_audit_test.cpp
@@ -76,7 +76,7 @@
             bool const      streamed = round % 2 == 0;
             httplib::Client client("127.0.0.1", system_.node_port((index + round) % 3));
             client.set_read_timeout(30);
-            auto const answer = client.Post(
+            auto const response = client.Post(
                 "/v1/chat/completions",
                 {{"Authorization", "Bearer " + system_.key(workspace)}},
                 json{{"model", "wording"},
@@ -87,12 +87,12 @@
                     .dump(),
                 "application/json");
             bool const complete =
-                answer && answer->status == 200 &&
-                (!streamed || answer->body.find("data: [DONE]") != std::string::npos);
+                response && response->status == 200 &&
+                (!streamed || response->body.find("data: [DONE]") != std::string::npos);
             if (complete)
             {
                 std::lock_guard const lock(mutex_);
-                complete_.insert(answer->get_header_value("X-Request-Id"));
+                complete_.insert(response->get_header_value("X-Request-Id"));
             }
             std::this_thread::sleep_for(millis{complete ? 5 : 50});
         }
@@ -123,8 +123,8 @@
     for (int engine = 0; engine < engines; ++engine)
     {
         httplib::Client client("127.0.0.1", system.engine_port(engine));
-        auto const      answer = client.Get("/control/generated");
-        for (auto const& entry : json::parse(answer ? answer->body : "[]"))
+        auto const      response = client.Get("/control/generated");
+        for (auto const& entry : json::parse(response ? response->body : "[]"))
         {
             auto& bill = result[entry["request_id"]];
             bill.workspace = entry["workspace"];
--- a/tests/failure/whole_answer_test.cpp
+++ b/tests/failure/whole_answer_test.cpp
@@ -39,11 +39,11 @@
     auto const  expected = ask(system, 0, {.tokens = tokens});
     std::string kind = GetParam();
     fault_everywhere(system, 2, {{"kind", kind}, {"count", 1}, {"for_ms", 300}});
-    auto const answer = ask(system, 0, {.tokens = tokens});
-    EXPECT_EQ(answer.status, 200);
-    EXPECT_TRUE(answer.done);
-    EXPECT_EQ(answer.text, expected.text);
-    EXPECT_EQ(answer.token_count, tokens);
+    auto const response = ask(system, 0, {.tokens = tokens});
+    EXPECT_EQ(response.status, 200);
+    EXPECT_TRUE(response.done);
+    EXPECT_EQ(response.text, expected.text);
+    EXPECT_EQ(response.token_count, tokens);
 }
 
 INSTANTIATE_TEST_SUITE_P(faults, confused_engine,
@@ -63,9 +63,9 @@
     std::string kind = GetParam();
     json const  value = {{"kind", kind}, {"count", 1}, {"for_ms", 60000}};
     system.fault(system.engine_port(0), value);
-    auto const answer = ask(system, 0, {.tokens = tokens, .prompt = "a line for Noor"});
-    EXPECT_TRUE(answer.done);
-    EXPECT_EQ(answer.text, expected.text);
+    auto const response = ask(system, 0, {.tokens = tokens, .prompt = "a line for Noor"});
+    EXPECT_TRUE(response.done);
+    EXPECT_EQ(response.text, expected.text);
     auto const resumed = system.received(system.engine_port(1), "generate");
     ASSERT_EQ(resumed.size(), 1U);
     auto const from = resumed[0]["headers"]["X-Resume-From"].get<std::string>();
@@ -97,8 +97,8 @@
 {
     fleet                system({.engine_settings = {{"decode_us", "100000"}}});
     caller_options const options{.tokens = tokens};
-    streamed_response    answer;
-    std::thread          caller([&] { answer = ask(system, 0, options); });
+    streamed_response    response;
+    std::thread          caller([&] { response = ask(system, 0, options); });
     EXPECT_TRUE(eventually(
         [&]
         {
@@ -109,8 +109,8 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
     system.node(0).signal(SIGKILL);
     caller.join();
-    EXPECT_FALSE(answer.complete);
-    EXPECT_FALSE(answer.done);
+    EXPECT_FALSE(response.complete);
+    EXPECT_FALSE(response.done);
 }
 
 /// A caller closes its connection. The engine must not go on generating, and what it ran
@@ -152,10 +152,10 @@
     fleet system({.engines = 1,
                   .node_settings = {{"deadline_ms", "2500"}, {"progress_ms", "60000"}}});
     fault_everywhere(system, 1, {{"kind", "junk"}, {"for_ms", 60000}});
-    auto const answer = ask(system, 0, {.tokens = tokens});
-    EXPECT_FALSE(answer.done);
-    EXPECT_EQ(answer.error["type"], "deadline");
-    EXPECT_LT(answer.duration_ms, 20000);
+    auto const response = ask(system, 0, {.tokens = tokens});
+    EXPECT_FALSE(response.done);
+    EXPECT_EQ(response.error["type"], "deadline");
+    EXPECT_LT(response.duration_ms, 20000);
 }
 
 /// An engine that changes its role refuses calls for two seconds. Callers would see
@@ -167,8 +167,8 @@
     ASSERT_TRUE(engine.Post("/orders",
                             R"({"id":"1","kind":"role","value":"decode","fence":1})",
                             "application/json"));
-    auto const answer = ask(system, 0, {.tokens = tokens});
-    EXPECT_TRUE(answer.done);
+    auto const response = ask(system, 0, {.tokens = tokens});
+    EXPECT_TRUE(response.done);
     auto const metrics =
         httplib::Client("127.0.0.1", system.node_port(0)).Get("/metrics");
     ASSERT_TRUE(metrics);
--- a/tests/platform/answers_test.cpp
+++ b/tests/platform/answers_test.cpp
@@ -20,15 +20,15 @@
 // The daemon must skip it by its id and relay the right one.
 TEST(platform_calls, late_answer_to_an_earlier_call_is_not_taken_for_the_next)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_next(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_next(
         [](wire_request const& request, wire_connection& connection)
         {
             connection.send(server_standin::signed_response(request, "first"));
             return true;
         });
-    EXPECT_EQ(ask(world.caller_port(), {.id = "a"}).body, "first");
-    world.server(0).handle_next(
+    EXPECT_EQ(ask(cluster.caller_port(), {.id = "a"}).body, "first");
+    cluster.server(0).handle_next(
         [](wire_request const& request, wire_connection& connection)
         {
             wire_request earlier;
@@ -38,34 +38,34 @@
             connection.send(server_standin::signed_response(request, "second"));
             return true;
         });
-    auto const answer = ask(world.caller_port(), {.id = "b"});
-    EXPECT_EQ(answer.status, 200);
-    EXPECT_EQ(answer.body, "second");
+    auto const response = ask(cluster.caller_port(), {.id = "b"});
+    EXPECT_EQ(response.status, 200);
+    EXPECT_EQ(response.body, "second");
 }
 
 // A server sends bytes after a complete response. On a reused connection, the next call
 // would read them as its response. The connection must not be reused.
 TEST(platform_calls, bytes_behind_an_answer_belong_to_no_call)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_next(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_next(
         [](wire_request const& request, wire_connection& connection)
         {
             connection.send(server_standin::signed_response(request, "one") +
                             "HTTP/1.1 200 OK\r\n");
             return true;
         });
-    EXPECT_EQ(ask(world.caller_port(), {.id = "a"}).body, "one");
-    EXPECT_EQ(ask(world.caller_port(), {.id = "b"}).body, "served by i-0");
-    EXPECT_EQ(world.server(0).connections(), 2U);
+    EXPECT_EQ(ask(cluster.caller_port(), {.id = "a"}).body, "one");
+    EXPECT_EQ(ask(cluster.caller_port(), {.id = "b"}).body, "served by i-0");
+    EXPECT_EQ(cluster.server(0).connections(), 2U);
 }
 
 // A server closes the connection in the middle of a body. The caller must not get the
 // partial body with status 200, but a failure.
 TEST(platform_calls, torn_answer_is_never_passed_on_as_whole)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_always(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_always(
         [](wire_request const& request, wire_connection& connection)
         {
             auto bytes =
@@ -73,17 +73,17 @@
             connection.send(bytes.substr(0, bytes.size() - 5));
             return false;
         });
-    auto const answer = ask(world.caller_port(), {.path = "/once/x"});
-    EXPECT_EQ(answer.status, 502);
-    EXPECT_EQ(answer.fields.count("instance-signature"), 0U);
+    auto const response = ask(cluster.caller_port(), {.path = "/once/x"});
+    EXPECT_EQ(response.status, 502);
+    EXPECT_EQ(response.fields.count("instance-signature"), 0U);
 }
 
 // A response without a length ends when the connection is closed. If the connection is
 // reset instead, the response is incomplete, and the caller must get a failure.
 TEST(platform_calls, answer_without_length_that_is_reset_is_not_whole)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_always(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_always(
         [](wire_request const& request, wire_connection& connection)
         {
             connection.send(
@@ -93,39 +93,39 @@
             connection.reset();
             return false;
         });
-    EXPECT_EQ(ask(world.caller_port(), {.path = "/once/x"}).status, 502);
+    EXPECT_EQ(ask(cluster.caller_port(), {.path = "/once/x"}).status, 502);
 }
 
 // A server responds with 200 but without its signature, so the body can't be trusted. The
 // caller must get a failure.
 TEST(platform_calls, success_without_signature_is_a_failure)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_always(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_always(
         [](wire_request const& request, wire_connection& connection)
         {
             connection.send(wire_response(
                 200, "Request-Id: " + request.field("request-id") + "\r\n", "unsigned"));
             return true;
         });
-    EXPECT_EQ(ask(world.caller_port(), {.path = "/once/x"}).status, 502);
+    EXPECT_EQ(ask(cluster.caller_port(), {.path = "/once/x"}).status, 502);
 }
 
 // A server's own failure is relayed with its status, body and signature unchanged.
 TEST(platform_calls, failure_of_a_server_is_passed_on_as_it_is)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_always(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_always(
         [](wire_request const& request, wire_connection& connection)
         {
             connection.send(
                 server_standin::signed_response(request, "broken inside", 500));
             return true;
         });
-    auto const answer = ask(world.caller_port(), {.path = "/once/x"});
-    EXPECT_EQ(answer.status, 500);
-    EXPECT_EQ(answer.body, "broken inside");
-    EXPECT_EQ(answer.fields.at("instance-signature"), "signed");
+    auto const response = ask(cluster.caller_port(), {.path = "/once/x"});
+    EXPECT_EQ(response.status, 500);
+    EXPECT_EQ(response.body, "broken inside");
+    EXPECT_EQ(response.fields.at("instance-signature"), "signed");
 }
 
 } // namespace
--- a/tests/platform/beliefs_test.cpp
+++ b/tests/platform/beliefs_test.cpp
@@ -18,9 +18,10 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-int status_of(entry_cluster const& world, request_options const& options, int daemon = 0)
+int status_of(entry_cluster const& cluster, request_options const& options,
+              int daemon = 0)
 {
-    return ask(world.caller_port(daemon), options).status;
+    return ask(cluster.caller_port(daemon), options).status;
 }
 
 // 1. Rules and keys
@@ -29,12 +30,12 @@
 // workspace is still served.
 TEST(platform_beliefs, withdrawn_key_stops_working)
 {
-    entry_cluster world;
-    EXPECT_EQ(status_of(world, {}), 200);
-    world.configure(2, {"key-other"});
-    EXPECT_TRUE(eventually([&] { return status_of(world, {}) == 401; }, 2000));
-    EXPECT_EQ(status_of(world, {.key = "key-south"}), 200);
-    EXPECT_EQ(status_of(world, {.key = "key-other"}), 200);
+    entry_cluster cluster;
+    EXPECT_EQ(status_of(cluster, {}), 200);
+    cluster.configure(2, {"key-other"});
+    EXPECT_TRUE(eventually([&] { return status_of(cluster, {}) == 401; }, 2000));
+    EXPECT_EQ(status_of(cluster, {.key = "key-south"}), 200);
+    EXPECT_EQ(status_of(cluster, {.key = "key-other"}), 200);
 }
 
 // The store doesn't respond to this VM, and keys may be withdrawn meanwhile. Once its
@@ -42,53 +43,54 @@
 // calls that need no key.
 TEST(platform_beliefs, keyed_calls_are_refused_when_keys_can_not_be_checked)
 {
-    entry_cluster world({.bounds = "key_life_ms = 3000\n"});
-    world.store().trouble(store_fault_kind::silent);
-    ASSERT_TRUE(eventually([&] { return status_of(world, {}) == 503; }, 8000));
-    auto const answer = ask(world.caller_port(), {});
-    EXPECT_NE(answer.body.find("stale_keys"), std::string::npos);
-    EXPECT_EQ(answer.fields.count("retry-after"), 1U);
-    EXPECT_EQ(status_of(world, {.path = "/open/x", .key = ""}), 200);
-    EXPECT_FALSE(world.ready());
-    world.store().trouble(store_fault_kind::none);
-    EXPECT_TRUE(eventually([&] { return status_of(world, {}) == 200; }, 8000));
+    entry_cluster cluster({.bounds = "key_life_ms = 3000\n"});
+    cluster.store().trouble(store_fault_kind::silent);
+    ASSERT_TRUE(eventually([&] { return status_of(cluster, {}) == 503; }, 8000));
+    auto const response = ask(cluster.caller_port(), {});
+    EXPECT_NE(response.body.find("stale_keys"), std::string::npos);
+    EXPECT_EQ(response.fields.count("retry-after"), 1U);
+    EXPECT_EQ(status_of(cluster, {.path = "/open/x", .key = ""}), 200);
+    EXPECT_FALSE(cluster.ready());
+    cluster.store().trouble(store_fault_kind::none);
+    EXPECT_TRUE(eventually([&] { return status_of(cluster, {}) == 200; }, 8000));
 }
 
 // An old version is read after a newer one, as when a VM reads pages of a store that is
 // being written. The old version must not come into force again.
 TEST(platform_beliefs, older_rules_never_replace_newer_ones)
 {
-    entry_cluster world;
-    world.configure(7, {"key-new"});
-    ASSERT_TRUE(eventually([&] { return status_of(world, {.key = "key-new"}) == 200; }));
-    world.configure(6, {"key-north"});
-    world.store().put("keyed.op", "config", "{ this is no configuration");
+    entry_cluster cluster;
+    cluster.configure(7, {"key-new"});
+    ASSERT_TRUE(
+        eventually([&] { return status_of(cluster, {.key = "key-new"}) == 200; }));
+    cluster.configure(6, {"key-north"});
+    cluster.store().put("keyed.op", "config", "{ this is no configuration");
     std::this_thread::sleep_for(milliseconds{300});
-    EXPECT_EQ(status_of(world, {}), 401);
-    EXPECT_EQ(status_of(world, {.key = "key-new"}), 200);
+    EXPECT_EQ(status_of(cluster, {}), 401);
+    EXPECT_EQ(status_of(cluster, {.key = "key-new"}), 200);
 }
 
 // The store drops its records while a VM follows it. The VM must read the newest records
 // again.
 TEST(platform_beliefs, rules_are_read_again_after_the_store_dropped_records)
 {
-    entry_cluster world;
-    world.store().trouble(store_fault_kind::refusing);
+    entry_cluster cluster;
+    cluster.store().trouble(store_fault_kind::refusing);
     std::this_thread::sleep_for(milliseconds{1800}); // until the current read has ended
-    world.configure(2, {"key-new"});
-    world.store().trouble(store_fault_kind::truncated);
+    cluster.configure(2, {"key-new"});
+    cluster.store().trouble(store_fault_kind::truncated);
     EXPECT_TRUE(
-        eventually([&] { return status_of(world, {.key = "key-new"}) == 200; }, 8000));
+        eventually([&] { return status_of(cluster, {.key = "key-new"}) == 200; }, 8000));
 }
 
 // A call to a path without a rule, or without a valid key, is refused at once, each with
 // its own status.
 TEST(platform_beliefs, unknown_paths_and_keys_are_told_apart)
 {
-    entry_cluster world;
-    EXPECT_EQ(status_of(world, {.path = "/nowhere/x"}), 404);
-    EXPECT_EQ(status_of(world, {.key = ""}), 401);
-    EXPECT_EQ(status_of(world, {.key = "key-nobody"}), 401);
+    entry_cluster cluster;
+    EXPECT_EQ(status_of(cluster, {.path = "/nowhere/x"}), 404);
+    EXPECT_EQ(status_of(cluster, {.key = ""}), 401);
+    EXPECT_EQ(status_of(cluster, {.key = "key-nobody"}), 401);
 }
 
 // 2. Servers
@@ -98,55 +100,55 @@
 // refuse every call, although all servers are alive.
 TEST(platform_beliefs, servers_stay_in_use_after_their_entries_expire)
 {
-    entry_cluster world;
-    world.store().trouble(store_fault_kind::refusing);
+    entry_cluster cluster;
+    cluster.store().trouble(store_fault_kind::refusing);
     std::this_thread::sleep_for(milliseconds{1500});
-    world.store().remove("keyed.servers", "i-0");
-    world.store().remove("keyed.servers", "i-1");
-    world.store().trouble(store_fault_kind::none);
+    cluster.store().remove("keyed.servers", "i-0");
+    cluster.store().remove("keyed.servers", "i-1");
+    cluster.store().trouble(store_fault_kind::none);
     auto const until = steady_clock::now() + milliseconds{1500};
     while (steady_clock::now() < until)
     {
-        EXPECT_EQ(status_of(world, {.path = "/open/x", .key = ""}), 200);
+        EXPECT_EQ(status_of(cluster, {.path = "/open/x", .key = ""}), 200);
     }
-    world.list_server(world.server(1)); // only one server comes back
+    cluster.list_server(cluster.server(1)); // only one server comes back
     std::this_thread::sleep_for(milliseconds{3500});
-    auto const before = world.server(0).received_requests().size();
+    auto const before = cluster.server(0).received_requests().size();
     for (int call = 0; call < 6; ++call)
     {
-        EXPECT_EQ(status_of(world, {.id = std::to_string(call)}), 200);
+        EXPECT_EQ(status_of(cluster, {.id = std::to_string(call)}), 200);
     }
-    EXPECT_EQ(world.server(0).received_requests().size(), before);
+    EXPECT_EQ(cluster.server(0).received_requests().size(), before);
 }
 
 // A server announces that it is leaving. New work sent to it would be lost with it.
 TEST(platform_beliefs, leaving_server_gets_no_new_work)
 {
-    entry_cluster world;
-    world.list_server(world.server(0), "draining");
+    entry_cluster cluster;
+    cluster.list_server(cluster.server(0), "draining");
     std::this_thread::sleep_for(milliseconds{1900});
-    auto const before = world.server(0).received_requests().size();
+    auto const before = cluster.server(0).received_requests().size();
     for (int call = 0; call < 6; ++call)
     {
-        EXPECT_EQ(status_of(world, {.id = std::to_string(call)}), 200);
+        EXPECT_EQ(status_of(cluster, {.id = std::to_string(call)}), 200);
     }
-    EXPECT_EQ(world.server(0).received_requests().size(), before);
+    EXPECT_EQ(cluster.server(0).received_requests().size(), before);
 }
 
 // Another writer corrupts the entry of a server. That entry is ignored; it must neither
 // end the process nor affect the other servers.
 TEST(platform_beliefs, unreadable_entries_leave_the_others_in_use)
 {
-    entry_cluster world;
-    world.store().put("keyed.servers", "i-0", "\xff\xfe not json");
-    world.store().put("keyed.servers", "i-9",
-                      R"({"service":7,"address":[],"state":"ready"})");
+    entry_cluster cluster;
+    cluster.store().put("keyed.servers", "i-0", "\xff\xfe not json");
+    cluster.store().put("keyed.servers", "i-9",
+                        R"({"service":7,"address":[],"state":"ready"})");
     std::this_thread::sleep_for(milliseconds{1500});
     for (int call = 0; call < 4; ++call)
     {
-        EXPECT_EQ(status_of(world, {.id = std::to_string(call)}), 200);
+        EXPECT_EQ(status_of(cluster, {.id = std::to_string(call)}), 200);
     }
-    EXPECT_TRUE(world.server(0).received_requests().empty());
+    EXPECT_TRUE(cluster.server(0).received_requests().empty());
 }
 
 // 3. Shutdown
@@ -155,7 +157,7 @@
 // relay the stream to its end, and then exit by itself.
 TEST(platform_beliefs, planned_stop_interrupts_no_call)
 {
-    entry_cluster     world;
+    entry_cluster     cluster;
     std::atomic<bool> go_on{false};
     auto const        slow = [&](wire_request const& request, wire_connection& connection)
     {
@@ -165,20 +167,20 @@
         connection.send(server_standin::chunk(server_standin::event(2)) + "0\r\n\r\n");
         return true;
     };
-    world.server(0).handle_always(slow);
-    world.server(1).handle_always(slow);
-    raw_caller caller(world.caller_port());
-    raw_caller idle(world.caller_port());
+    cluster.server(0).handle_always(slow);
+    cluster.server(1).handle_always(slow);
+    raw_caller caller(cluster.caller_port());
+    raw_caller idle(cluster.caller_port());
     caller.send(make_request({.path = "/stream/x", .deadline_ms = 20000}));
     caller.read_until("data: piece 1");
-    world.daemon().signal(SIGTERM);
-    EXPECT_TRUE(eventually([&] { return !world.ready(); }, 1000));
+    cluster.daemon().signal(SIGTERM);
+    EXPECT_TRUE(eventually([&] { return !cluster.ready(); }, 1000));
     EXPECT_TRUE(idle.closed(5000));
     go_on = true;
-    auto const answer = caller.read();
-    EXPECT_TRUE(answer.complete);
-    EXPECT_EQ(answer.body, server_standin::event(1) + server_standin::event(2));
-    EXPECT_EQ(world.daemon().wait(9000), 0);
+    auto const response = caller.read();
+    EXPECT_TRUE(response.complete);
+    EXPECT_EQ(response.body, server_standin::event(1) + server_standin::event(2));
+    EXPECT_EQ(cluster.daemon().wait(9000), 0);
 }
 
 // A VM is stopped while the store doesn't respond and a call never ends. Appending the
@@ -186,20 +188,20 @@
 // would be killed.
 TEST(platform_beliefs, planned_stop_ends_within_the_grace_while_the_store_is_silent)
 {
-    entry_cluster world({.bounds = "grace_s = 4\n"});
-    world.server(0).handle_always(
+    entry_cluster cluster({.bounds = "grace_s = 4\n"});
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         { return eventually([&] { return connection.closed_by_peer(); }); });
-    world.server(1).handle_always(
+    cluster.server(1).handle_always(
         [](wire_request const&, wire_connection& connection)
         { return eventually([&] { return connection.closed_by_peer(); }); });
-    raw_caller caller(world.caller_port());
+    raw_caller caller(cluster.caller_port());
     caller.send(make_request({.path = "/stream/x", .deadline_ms = 20000}));
     std::this_thread::sleep_for(milliseconds{200});
-    world.store().trouble(store_fault_kind::silent);
-    world.daemon().signal(SIGTERM);
-    EXPECT_GE(world.daemon().wait(15000), 0);
-    auto const output = world.output();
+    cluster.store().trouble(store_fault_kind::silent);
+    cluster.daemon().signal(SIGTERM);
+    EXPECT_GE(cluster.daemon().wait(15000), 0);
+    auto const output = cluster.output();
     auto const line = output.find("ev=stopped");
     ASSERT_NE(line, std::string::npos);
     auto const took = output.find("took_ms=", line);
@@ -209,10 +211,10 @@
 
 // 4. Duties
 
-std::vector<duty_request> reports_of(entry_cluster const& world)
+std::vector<duty_request> reports_of(entry_cluster const& cluster)
 {
     std::vector<duty_request> result;
-    for (auto const& call : world.duty_requests())
+    for (auto const& call : cluster.duty_requests())
     {
         if (call.path == "/usage")
         {
@@ -235,38 +237,38 @@
 // window may be reported with two figures.
 TEST(platform_beliefs, paused_holder_reports_nothing_after_its_successor)
 {
-    entry_cluster world(quick_duties(2));
+    entry_cluster cluster(quick_duties(2));
     int           id = 0;
     auto const    call_both = [&]
     {
         for (int daemon = 0; daemon < 2; ++daemon)
         {
-            status_of(world, {.id = std::to_string(++id)}, daemon);
+            status_of(cluster, {.id = std::to_string(++id)}, daemon);
         }
     };
     ASSERT_TRUE(eventually(
         [&]
         {
             call_both();
-            return !reports_of(world).empty();
+            return !reports_of(cluster).empty();
         },
         30000));
-    auto const first = reports_of(world).back();
+    auto const first = reports_of(cluster).back();
     auto const paused = first.holder == "vm-0" ? 0 : 1;
-    world.daemon(paused).signal(SIGSTOP);
+    cluster.daemon(paused).signal(SIGSTOP);
     ASSERT_TRUE(eventually(
         [&]
         {
-            status_of(world, {.id = std::to_string(++id)}, 1 - paused);
-            return reports_of(world).back().holder != first.holder;
+            status_of(cluster, {.id = std::to_string(++id)}, 1 - paused);
+            return reports_of(cluster).back().holder != first.holder;
         },
         30000));
-    world.daemon(paused).signal(SIGCONT);
+    cluster.daemon(paused).signal(SIGCONT);
     std::this_thread::sleep_for(milliseconds{2500});
     std::uint64_t                          token = 0;
     std::map<std::uint64_t, std::string>   holder_of;
     std::map<std::int64_t, nlohmann::json> figures;
-    for (auto const& report : reports_of(world))
+    for (auto const& report : reports_of(cluster))
     {
         EXPECT_GE(report.token, token);
         token = report.token;
@@ -283,27 +285,27 @@
 // appends again must not be billed twice.
 TEST(platform_beliefs, counts_whose_append_got_no_answer_are_billed_once)
 {
-    entry_cluster world(quick_duties(1));
+    entry_cluster cluster(quick_duties(1));
     ASSERT_TRUE(eventually(
         [&]
         {
-            status_of(world, {.id = "warm"});
-            return !reports_of(world).empty();
+            status_of(cluster, {.id = "warm"});
+            return !reports_of(cluster).empty();
         },
         30000));
-    world.store().trouble(store_fault_kind::losing_responses);
+    cluster.store().trouble(store_fault_kind::losing_responses);
     int const calls = 20;
     for (int call = 0; call < calls; ++call)
     {
-        EXPECT_EQ(status_of(world, {.id = std::to_string(call), .key = "key-south"}),
+        EXPECT_EQ(status_of(cluster, {.id = std::to_string(call), .key = "key-south"}),
                   200);
     }
     std::this_thread::sleep_for(milliseconds{1800});
-    world.store().trouble(store_fault_kind::none);
+    cluster.store().trouble(store_fault_kind::none);
     auto const billed = [&]
     {
         std::int64_t sum = 0;
-        for (auto const& report : reports_of(world))
+        for (auto const& report : reports_of(cluster))
         {
             sum += report.body.at("counts").value("south", std::int64_t{0});
         }
@@ -318,24 +320,24 @@
 // would not be billed. The other VM has received the counts in digests.
 TEST(platform_beliefs, calls_of_a_killed_vm_are_billed)
 {
-    entry_cluster world({.daemons = 2,
-                         .bounds = "usage_window_s = 4\nlease_ms = 1500\n"
-                                   "key_life_ms = 5000\n"});
-    ASSERT_TRUE(eventually([&] { return !reports_of(world).empty(); }, 30000));
-    auto const holder = reports_of(world).back().holder == "vm-0" ? 0 : 1;
+    entry_cluster cluster({.daemons = 2,
+                           .bounds = "usage_window_s = 4\nlease_ms = 1500\n"
+                                     "key_life_ms = 5000\n"});
+    ASSERT_TRUE(eventually([&] { return !reports_of(cluster).empty(); }, 30000));
+    auto const holder = reports_of(cluster).back().holder == "vm-0" ? 0 : 1;
     int const  calls = 20;
     for (int call = 0; call < calls; ++call)
     {
-        EXPECT_EQ(status_of(world, {.id = std::to_string(call), .key = "key-south"},
+        EXPECT_EQ(status_of(cluster, {.id = std::to_string(call), .key = "key-south"},
                             1 - holder),
                   200);
     }
     std::this_thread::sleep_for(milliseconds{700}); // one digest in three has usage
-    world.daemon(1 - holder).signal(SIGKILL);
+    cluster.daemon(1 - holder).signal(SIGKILL);
     auto const billed = [&]
     {
         std::map<std::int64_t, std::int64_t> windows;
-        for (auto const& report : reports_of(world))
+        for (auto const& report : reports_of(cluster))
         {
             windows[report.body.at("window_id").get<std::int64_t>()] =
                 report.body.at("counts").value("south", std::int64_t{0});
@@ -354,9 +356,9 @@
 // one.
 TEST(platform_beliefs, window_without_calls_is_reported)
 {
-    entry_cluster world(quick_duties(1));
-    EXPECT_TRUE(eventually([&] { return reports_of(world).size() >= 2; }, 30000));
-    EXPECT_TRUE(reports_of(world).back().body.at("counts").empty());
+    entry_cluster cluster(quick_duties(1));
+    EXPECT_TRUE(eventually([&] { return reports_of(cluster).size() >= 2; }, 30000));
+    EXPECT_TRUE(reports_of(cluster).back().body.at("counts").empty());
 }
 
 // 5. Log lines
@@ -365,21 +367,21 @@
 // must write exactly one final line with the id, and no line may contain a key.
 TEST(platform_beliefs, every_call_leaves_one_final_line_and_no_line_holds_a_key)
 {
-    entry_cluster world;
-    status_of(world, {.id = "served"});
-    status_of(world, {.path = "/nowhere/x", .id = "lost-way"});
-    status_of(world, {.id = "bad-key", .key = "key-nobody"});
+    entry_cluster cluster;
+    status_of(cluster, {.id = "served"});
+    status_of(cluster, {.path = "/nowhere/x", .id = "lost-way"});
+    status_of(cluster, {.id = "bad-key", .key = "key-nobody"});
     auto const lose = [](wire_request const&, wire_connection& connection)
     {
         connection.reset();
         return false;
     };
-    world.server(0).handle_always(lose);
-    world.server(1).handle_always(lose);
-    status_of(world, {.path = "/once/x", .id = "reset"});
+    cluster.server(0).handle_always(lose);
+    cluster.server(1).handle_always(lose);
+    status_of(cluster, {.path = "/once/x", .id = "reset"});
     auto const lines = [&](std::string const& id)
     {
-        auto const  text = world.output();
+        auto const  text = cluster.output();
         std::size_t count = 0;
         std::string wanted{"ev=end id="};
         wanted += id;
@@ -395,7 +397,7 @@
     {
         EXPECT_TRUE(eventually([&] { return lines(id) == 1; }, 3000)) << id;
     }
-    EXPECT_EQ(world.output().find("key-no"), std::string::npos);
+    EXPECT_EQ(cluster.output().find("key-no"), std::string::npos);
 }
 
 } // namespace
--- a/tests/platform/relays_test.cpp
+++ b/tests/platform/relays_test.cpp
@@ -32,11 +32,11 @@
     /// The chunk that the member gets; nothing if it has to read the store.
     std::optional<log_chunk> fetch(records_query query)
     {
-        std::optional<log_chunk> answer;
+        std::optional<log_chunk> reply;
         bool                     done = false;
         auto                     asking = [&]() -> boost::asio::awaitable<void>
         {
-            answer = co_await member.fetch(query);
+            reply = co_await member.fetch(query);
             done = true;
         };
         boost::asio::co_spawn(loop, asking(), boost::asio::detached);
@@ -48,7 +48,7 @@
             relay.tick();
         }
         EXPECT_TRUE(done);
-        return answer;
+        return reply;
     }
 
     static topic_mirror::change_filter keep_all(std::string const&)
@@ -74,11 +74,11 @@
 {
     linked_vms vms;
     vms.relay.merge("rules", one_record(), boot_clock::now() - millis{300});
-    auto const answer = vms.fetch({"rules", 7, millis{500}});
-    ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->records, std::vector<std::string>{"version 2"});
-    EXPECT_TRUE(answer->relayed);
-    EXPECT_GE(answer->age, millis{300});
+    auto const reply = vms.fetch({"rules", 7, millis{500}});
+    ASSERT_TRUE(reply);
+    EXPECT_EQ(reply->records, std::vector<std::string>{"version 2"});
+    EXPECT_TRUE(reply->relayed);
+    EXPECT_GE(reply->age, millis{300});
 }
 
 // The relay has lost the store and hasn't detected it yet. If a member took its old
@@ -118,9 +118,9 @@
     records_query query{"servers", 7, millis{300}};
     query.max_age = millis{1300};
     query.accept_older = true;
-    auto const answer = vms.fetch(query);
-    ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->records.size(), 1U);
+    auto const reply = vms.fetch(query);
+    ASSERT_TRUE(reply);
+    EXPECT_EQ(reply->records.size(), 1U);
 }
 
 // Hundreds of members must not all read the store because their relays are slow once.
@@ -141,9 +141,9 @@
 {
     linked_vms vms;
     vms.relay.merge("rules", {.from = 8, .end = 8}, boot_clock::now());
-    auto const answer = vms.fetch({"rules", 8, millis{600}});
-    ASSERT_TRUE(answer);
-    EXPECT_LE(answer->age, millis{100}); // counted from the query, 600 ms earlier
+    auto const reply = vms.fetch({"rules", 8, millis{600}});
+    ASSERT_TRUE(reply);
+    EXPECT_LE(reply->age, millis{100}); // counted from the query, 600 ms earlier
 }
 
 // A member that isn't queried by other VMs must not keep the records from its relay,
@@ -190,9 +190,9 @@
     later.async_wait([&](auto)
                      { vms.relay.merge("rules", one_record(), boot_clock::now()); });
     auto const began = boot_clock::now();
-    auto const answer = vms.fetch({"rules", 7, millis{3000}});
-    ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->records.size(), 1U);
+    auto const reply = vms.fetch({"rules", 7, millis{3000}});
+    ASSERT_TRUE(reply);
+    EXPECT_EQ(reply->records.size(), 1U);
     EXPECT_LT(boot_clock::now() - began, millis{2500});
 }
 
@@ -201,30 +201,30 @@
 constexpr int fleet_size = 5; // with a mesh of two, one VM reads the store for all
 
 /// The last relay plan that a VM has logged.
-std::string last_plan(entry_cluster const& world, int index)
+std::string last_plan(entry_cluster const& cluster, int index)
 {
-    auto const text = world.output(index);
+    auto const text = cluster.output(index);
     auto const last = text.rfind("ev=relays ");
     return last == std::string::npos ? ""
                                      : text.substr(last, text.find('\n', last) - last);
 }
 
-bool is_relay(entry_cluster const& world, int index)
+bool is_relay(entry_cluster const& cluster, int index)
 {
-    return last_plan(world, index).find("relay=1") != std::string::npos;
+    return last_plan(cluster, index).find("relay=1") != std::string::npos;
 }
 
 /// Whether all VMs know each other: there are two relays, and one of them queries the
 /// other.
-bool planned(entry_cluster const& world)
+bool planned(entry_cluster const& cluster)
 {
     int relays = 0;
     int askers = 0;
     for (int index = 0; index < fleet_size; ++index)
     {
-        relays += is_relay(world, index) ? 1 : 0;
+        relays += is_relay(cluster, index) ? 1 : 0;
         bool const asks =
-            last_plan(world, index).find("records_from=127") != std::string::npos;
+            last_plan(cluster, index).find("records_from=127") != std::string::npos;
         askers += asks ? 1 : 0;
     }
     return relays == 2 && askers == fleet_size - 1;
@@ -233,22 +233,22 @@
 /// A fleet whose members have found their relays.
 std::unique_ptr<entry_cluster> fleet(std::string bounds = "")
 {
-    auto world = std::make_unique<entry_cluster>(
+    auto cluster = std::make_unique<entry_cluster>(
         cluster_options{.daemons = fleet_size, .bounds = std::move(bounds), .mesh = 2});
-    EXPECT_TRUE(eventually([&] { return planned(*world); }, 10000));
-    return world;
+    EXPECT_TRUE(eventually([&] { return planned(*cluster); }, 10000));
+    return cluster;
 }
 
-int status_at(entry_cluster const& world, int index)
+int status_at(entry_cluster const& cluster, int index)
 {
-    return ask(world.caller_port(index), {}).status;
+    return ask(cluster.caller_port(index), {}).status;
 }
 
-bool all_answer(entry_cluster const& world, int status)
+bool all_answer(entry_cluster const& cluster, int status)
 {
     for (int index = 0; index < fleet_size; ++index)
     {
-        if (status_at(world, index) != status)
+        if (status_at(cluster, index) != status)
         {
             return false;
         }
@@ -259,36 +259,36 @@
 // A withdrawn key must also stop working at VMs that read the store only through relays.
 TEST(platform_relays, withdrawn_key_stops_working_on_all_vms)
 {
-    auto const world = fleet();
-    EXPECT_TRUE(eventually([&] { return all_answer(*world, 200); }));
-    world->configure(2, {"key-other"});
-    EXPECT_TRUE(eventually([&] { return all_answer(*world, 401); }, 3000));
+    auto const cluster = fleet();
+    EXPECT_TRUE(eventually([&] { return all_answer(*cluster, 200); }));
+    cluster->configure(2, {"key-other"});
+    EXPECT_TRUE(eventually([&] { return all_answer(*cluster, 401); }, 3000));
 }
 
 // The store responds to no VM. Members still get replies from their relays, but must not
 // accept keys for longer than the relays do.
 TEST(platform_relays, members_refuse_keyed_calls_when_relays_have_lost_the_store)
 {
-    auto const world = fleet("key_life_ms = 5000\n");
-    EXPECT_TRUE(eventually([&] { return all_answer(*world, 200); }));
-    world->store().trouble(store_fault_kind::silent);
-    EXPECT_TRUE(eventually([&] { return all_answer(*world, 503); }, 6000));
-    world->store().trouble(store_fault_kind::none);
-    EXPECT_TRUE(eventually([&] { return all_answer(*world, 200); }, 10000));
+    auto const cluster = fleet("key_life_ms = 5000\n");
+    EXPECT_TRUE(eventually([&] { return all_answer(*cluster, 200); }));
+    cluster->store().trouble(store_fault_kind::silent);
+    EXPECT_TRUE(eventually([&] { return all_answer(*cluster, 503); }, 6000));
+    cluster->store().trouble(store_fault_kind::none);
+    EXPECT_TRUE(eventually([&] { return all_answer(*cluster, 200); }, 10000));
 }
 
 // Both relays freeze. Their members must read the store themselves before their records
 // of the keys are too old, so that no call fails.
 TEST(platform_relays, members_go_on_without_their_relays)
 {
-    auto const       world = fleet();
+    auto const       cluster = fleet();
     std::vector<int> members;
-    EXPECT_TRUE(eventually([&] { return all_answer(*world, 200); }));
+    EXPECT_TRUE(eventually([&] { return all_answer(*cluster, 200); }));
     for (int index = 0; index < fleet_size; ++index)
     {
-        if (is_relay(*world, index))
+        if (is_relay(*cluster, index))
         {
-            world->daemon(index).signal(SIGSTOP);
+            cluster->daemon(index).signal(SIGSTOP);
         }
         else
         {
@@ -301,17 +301,17 @@
     {
         for (auto const index : members)
         {
-            ASSERT_EQ(status_at(*world, index), 200) << world->output(index);
+            ASSERT_EQ(status_at(*cluster, index), 200) << cluster->output(index);
         }
         std::this_thread::sleep_for(millis{100});
     }
     for (auto const index : members)
     {
-        EXPECT_NE(world->output(index).find("ev=relays_lost"), std::string::npos);
+        EXPECT_NE(cluster->output(index).find("ev=relays_lost"), std::string::npos);
     }
     for (int index = 0; index < fleet_size; ++index)
     {
-        world->daemon(index).signal(SIGCONT);
+        cluster->daemon(index).signal(SIGCONT);
     }
 }
 
@@ -319,33 +319,34 @@
 // log, the store would be overloaded and respond to none in time.
 TEST(platform_relays, vm_that_starts_again_reads_only_the_end_of_the_usage_log)
 {
-    constexpr int kept = 3000;
-    entry_cluster world({.daemons = 2});
-    for (int index = 0; index < kept; ++index)
+    constexpr int record_count = 3000;
+    entry_cluster cluster({.daemons = 2});
+    for (int index = 0; index < record_count; ++index)
     {
-        world.store().append("usage", "not a record");
+        cluster.store().append("usage", "not a record");
     }
-    world.restart(1);
+    cluster.restart(1);
     EXPECT_TRUE(eventually(
-        [&] { return world.output(1).find("ev=usage_log from=2") != std::string::npos; },
+        [&]
+        { return cluster.output(1).find("ev=usage_log from=2") != std::string::npos; },
         5000));
-    EXPECT_TRUE(eventually([&] { return world.ready(1); }, 5000));
+    EXPECT_TRUE(eventually([&] { return cluster.ready(1); }, 5000));
 }
 
 // The store is lost for one VM of a small fleet, which may be the one that reads for the
 // others. The others must still learn of new rules in time.
 TEST(platform_relays, small_fleet_learns_of_rules_while_one_vm_has_lost_the_store)
 {
-    entry_cluster world({.daemons = 3, .relayed = true});
+    entry_cluster cluster({.daemons = 3, .relayed = true});
     std::uint64_t version = 1;
     for (int lost = 0; lost < 3; ++lost)
     {
-        world.store_relay(lost).cut(true);
+        cluster.store_relay(lost).cut(true);
         auto const key = "key-" + std::to_string(lost);
-        world.configure(++version, {key});
+        cluster.configure(++version, {key});
         auto const serves = [&](int daemon)
         {
-            return ask(world.caller_port(daemon), {.key = key}).status == 200;
+            return ask(cluster.caller_port(daemon), {.key = key}).status == 200;
         };
         for (int daemon = 0; daemon < 3; ++daemon)
         {
@@ -353,7 +354,7 @@
                         eventually([&] { return serves(daemon); }, 2000))
                 << lost << " lost, " << daemon << " asked";
         }
-        world.store_relay(lost).cut(false);
+        cluster.store_relay(lost).cut(false);
         EXPECT_TRUE(eventually([&] { return serves(lost); }, 8000));
     }
 }
--- a/tests/platform/requests_test.cpp
+++ b/tests/platform/requests_test.cpp
@@ -15,15 +15,15 @@
 // key: a server sees only the name of the workspace.
 TEST(platform_calls, servers_see_neither_keys_nor_fields_that_only_the_system_sets)
 {
-    entry_cluster world(one_server());
-    EXPECT_EQ(ask(world.caller_port(),
+    entry_cluster cluster(one_server());
+    EXPECT_EQ(ask(cluster.caller_port(),
                   {.fields = "Tenant: south\r\nKv-Source: 10.0.0.1:1/h\r\nPin-Ms: 9\r\n"
                              "Kv-Retention: x\r\nKv-Backup: y\r\nRequest-Priority: 0\r\n"
                              "Connection: keep-alive, Prefix-Hash\r\n"
                              "Prefix-Hash: aa:5,bb:7\r\nX-Own: kept\r\n"})
                   .status,
               200);
-    auto const seen = world.server(0).received_requests().at(0);
+    auto const seen = cluster.server(0).received_requests().at(0);
     EXPECT_EQ(seen.head.find("key-north"), std::string::npos);
     EXPECT_EQ(seen.field("tenant"), "north");
     EXPECT_EQ(seen.fields.count("tenant"), 1U);
@@ -42,10 +42,11 @@
 // must be forwarded as one line.
 TEST(platform_calls, folded_field_goes_on_as_one_line)
 {
-    entry_cluster world(one_server());
-    EXPECT_EQ(ask(world.caller_port(), {.fields = "X-A: b\r\n Tenant: south\r\n"}).status,
-              200);
-    auto const seen = world.server(0).received_requests().at(0);
+    entry_cluster cluster(one_server());
+    EXPECT_EQ(
+        ask(cluster.caller_port(), {.fields = "X-A: b\r\n Tenant: south\r\n"}).status,
+        200);
+    auto const seen = cluster.server(0).received_requests().at(0);
     EXPECT_EQ(seen.field("x-a"), "b Tenant: south");
     EXPECT_EQ(seen.field("tenant"), "north");
 }
@@ -104,18 +105,18 @@
         {"long head", head("X-Long: " + std::string(9000, 'a') + "\r\n\r\n"), 431},
         {"long body", head("Content-Length: 100001\r\n\r\n"), 413},
     };
-    entry_cluster world(one_server());
+    entry_cluster cluster(one_server());
     for (auto const& input : inputs)
     {
         SCOPED_TRACE(input.name);
-        raw_caller caller(world.caller_port());
+        raw_caller caller(cluster.caller_port());
         caller.send(input.bytes);
-        auto const answer = caller.read();
-        EXPECT_EQ(answer.status, input.status);
+        auto const response = caller.read();
+        EXPECT_EQ(response.status, input.status);
         EXPECT_TRUE(caller.closed());
     }
-    EXPECT_TRUE(world.server(0).received_requests().empty());
-    EXPECT_EQ(ask(world.caller_port(), {}).status, 200); // it still serves
+    EXPECT_TRUE(cluster.server(0).received_requests().empty());
+    EXPECT_EQ(ask(cluster.caller_port(), {}).status, 200); // it still serves
 }
 
 } // namespace
--- a/tests/platform/sends_test.cpp
+++ b/tests/platform/sends_test.cpp
@@ -22,26 +22,26 @@
 // repeat it.
 TEST(platform_calls, call_of_unknown_fate_is_neither_repeated_nor_called_not_run)
 {
-    entry_cluster world;
+    entry_cluster cluster;
     auto const    lose = [](wire_request const&, wire_connection& connection)
     {
         connection.reset();
         return false;
     };
-    world.server(0).handle_always(lose);
-    world.server(1).handle_always(lose);
-    auto const answer = ask(world.caller_port(), {.path = "/once/x"});
-    EXPECT_EQ(answer.status, 502);
-    EXPECT_EQ(world.server(0).received_requests().size() +
-                  world.server(1).received_requests().size(),
+    cluster.server(0).handle_always(lose);
+    cluster.server(1).handle_always(lose);
+    auto const response = ask(cluster.caller_port(), {.path = "/once/x"});
+    EXPECT_EQ(response.status, 502);
+    EXPECT_EQ(cluster.server(0).received_requests().size() +
+                  cluster.server(1).received_requests().size(),
               1U);
 }
 
 // The connection is reset, but the call may run more than once: another server serves it.
 TEST(platform_calls, repeatable_call_is_served_by_another_server_after_a_reset)
 {
-    entry_cluster world;
-    world.server(0).handle_always(
+    entry_cluster cluster;
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         {
             connection.reset();
@@ -49,7 +49,7 @@
         });
     for (int call = 0; call < 4; ++call)
     {
-        EXPECT_EQ(ask(world.caller_port(), {.id = std::to_string(call)}).body,
+        EXPECT_EQ(ask(cluster.caller_port(), {.id = std::to_string(call)}).body,
                   "served by i-1");
     }
 }
@@ -58,18 +58,18 @@
 // immediate refusal that says so, with a Retry-After.
 TEST(platform_calls, refusal_by_servers_says_not_run_and_when_to_come_back)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_always(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         {
             connection.send(wire_response(503, "Not-Executed: 1\r\n", ""));
             return true;
         });
     auto const begin = steady_clock::now();
-    auto const answer = ask(world.caller_port(), {.path = "/once/x"});
-    EXPECT_EQ(answer.status, 503);
-    EXPECT_GT(std::stod(answer.fields.at("retry-after")), 0.0);
-    EXPECT_NE(answer.body.find("not_run"), std::string::npos);
+    auto const response = ask(cluster.caller_port(), {.path = "/once/x"});
+    EXPECT_EQ(response.status, 503);
+    EXPECT_GT(std::stod(response.fields.at("retry-after")), 0.0);
+    EXPECT_NE(response.body.find("not_run"), std::string::npos);
     EXPECT_LT(steady_clock::now() - begin, milliseconds{2000}); // its deadline is 5000
 }
 
@@ -77,39 +77,39 @@
 // wrong server and has not run the call. Another server of the service must get it.
 TEST(platform_calls, order_at_a_reused_address_goes_on_to_a_living_server)
 {
-    entry_cluster world;
-    world.server(0).handle_always(
+    entry_cluster cluster;
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         {
             connection.send(wire_response(421, "Instance-Id: i-other\r\n", ""));
             return true;
         });
-    auto const answer = ask(world.caller_port(), {.path = "/once/x"});
-    EXPECT_EQ(answer.body, "served by i-1");
+    auto const response = ask(cluster.caller_port(), {.path = "/once/x"});
+    EXPECT_EQ(response.body, "served by i-1");
 }
 
 // The only server of a service responds slowly. The first attempt must get all of the
 // time: leaving half of it for another server would turn a late response into a failure.
 TEST(platform_calls, only_server_of_a_service_gets_all_the_time_there_is)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_always(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_always(
         [](wire_request const& request, wire_connection& connection)
         {
             std::this_thread::sleep_for(milliseconds{1300});
             connection.send(server_standin::signed_response(request, "late"));
             return true;
         });
-    EXPECT_EQ(ask(world.caller_port(), {.deadline_ms = 2000}).body, "late");
-    EXPECT_EQ(world.server(0).received_requests().size(), 1U);
+    EXPECT_EQ(ask(cluster.caller_port(), {.deadline_ms = 2000}).body, "late");
+    EXPECT_EQ(cluster.server(0).received_requests().size(), 1U);
 }
 
 // A crashed server restarts with the same id, and the request crashes it again. These
 // must be counted as two crashes, after which the request is blocked.
 TEST(platform_calls, two_crashes_of_one_server_count_as_two)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_always(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         {
             connection.reset();
@@ -117,26 +117,26 @@
         });
     for (int call = 0; call < 6; ++call)
     {
-        ask(world.caller_port(), {.path = "/once/x", .id = std::to_string(call)});
+        ask(cluster.caller_port(), {.path = "/once/x", .id = std::to_string(call)});
         std::this_thread::sleep_for(milliseconds{300}); // the server restarts
     }
-    EXPECT_EQ(world.server(0).received_requests().size(), 2U);
+    EXPECT_EQ(cluster.server(0).received_requests().size(), 2U);
 }
 
 // No server of a service can be reached. The call must be refused at once as not run;
 // repeated connects until the deadline would leave the caller no time to retry.
 TEST(platform_calls, service_out_of_reach_is_refused_at_once)
 {
-    entry_cluster world({.servers = 0});
-    world.store().put(
+    entry_cluster cluster({.servers = 0});
+    cluster.store().put(
         "keyed.servers", "i-7",
         R"({"service":"desk","address":"127.0.0.1:1","zone":"here","slots":1,)"
         R"("state":"ready","sequence":1})");
-    ASSERT_TRUE(eventually([&] { return world.ready(); }));
+    ASSERT_TRUE(eventually([&] { return cluster.ready(); }));
     auto const begin = steady_clock::now();
-    auto const answer = ask(world.caller_port(), {.path = "/once/x"});
-    EXPECT_EQ(answer.status, 503);
-    EXPECT_NE(answer.body.find("not_run"), std::string::npos);
+    auto const response = ask(cluster.caller_port(), {.path = "/once/x"});
+    EXPECT_EQ(response.status, 503);
+    EXPECT_NE(response.body.find("not_run"), std::string::npos);
     EXPECT_LT(steady_clock::now() - begin, milliseconds{2500}); // its deadline is 5000
 }
 
@@ -145,7 +145,7 @@
 // requests.
 TEST(platform_calls, request_that_crashes_servers_is_stopped_after_two)
 {
-    entry_cluster world({.daemons = 2, .servers = 4});
+    entry_cluster cluster({.daemons = 2, .servers = 4});
     auto const    crash = [](wire_request const& request, wire_connection& connection)
     {
         if (request.body != "crash")
@@ -158,25 +158,25 @@
     };
     for (int index = 0; index < 4; ++index)
     {
-        world.server(index).handle_always(crash);
+        cluster.server(index).handle_always(crash);
     }
     std::this_thread::sleep_for(milliseconds{2500}); // the VMs have discovered each other
     for (int call = 0; call < 8; ++call)
     {
-        ask(world.caller_port(call % 2),
+        ask(cluster.caller_port(call % 2),
             {.path = "/once/x", .id = std::to_string(call), .body = "crash"});
         std::this_thread::sleep_for(milliseconds{400});
     }
     std::size_t crashes = 0;
     for (int index = 0; index < 4; ++index)
     {
-        crashes += world.server(index).received_requests().size();
+        crashes += cluster.server(index).received_requests().size();
     }
     EXPECT_EQ(crashes, 2U);
-    auto const last = ask(world.caller_port(0), {.path = "/once/x", .body = "crash"});
+    auto const last = ask(cluster.caller_port(0), {.path = "/once/x", .body = "crash"});
     EXPECT_EQ(last.status, 503);
     EXPECT_NE(last.body.find("poison"), std::string::npos);
-    EXPECT_EQ(ask(world.caller_port(1), {.path = "/once/x", .body = "other"}).status,
+    EXPECT_EQ(ask(cluster.caller_port(1), {.path = "/once/x", .body = "other"}).status,
               200);
 }
 
@@ -184,16 +184,17 @@
 // response that the outcome is unknown.
 TEST(platform_calls, silent_server_ends_in_a_timely_unknown_outcome)
 {
-    entry_cluster world(one_server());
-    world.server(0).handle_always(
+    entry_cluster cluster(one_server());
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         {
             eventually([&] { return connection.closed_by_peer(); });
             return false;
         });
     auto const begin = steady_clock::now();
-    auto const answer = ask(world.caller_port(), {.path = "/once/x", .deadline_ms = 700});
-    EXPECT_TRUE(answer.status == 504 || answer.status == 502);
+    auto const response =
+        ask(cluster.caller_port(), {.path = "/once/x", .deadline_ms = 700});
+    EXPECT_TRUE(response.status == 504 || response.status == 502);
     EXPECT_LT(steady_clock::now() - begin, milliseconds{1700});
 }
 
--- a/tests/platform/streams_test.cpp
+++ b/tests/platform/streams_test.cpp
@@ -20,7 +20,7 @@
 // 1. Streams
 
 wire_server::handler stream_of(int first, int last, bool complete,
-                               std::string const& torn = "")
+                               std::string const& partial = "")
 {
     return [=](wire_request const& request, wire_connection& connection)
     {
@@ -34,7 +34,7 @@
             connection.send("0\r\n\r\n");
             return true;
         }
-        connection.send(server_standin::chunk(torn));
+        connection.send(server_standin::chunk(partial));
         std::this_thread::sleep_for(milliseconds{50});
         connection.reset();
         return false;
@@ -56,37 +56,37 @@
 // order and complete.
 TEST(platform_calls, resumable_stream_continues_on_another_server_without_gap_or_repeat)
 {
-    entry_cluster world;
+    entry_cluster cluster;
     auto const    serve = [&](wire_request const& request, wire_connection& connection)
     {
         return request.field("last-event-id") == "3"
                    ? stream_of(4, 6, true)(request, connection)
                    : stream_of(1, 3, false, "id: 4\ndata: pie")(request, connection);
     };
-    world.server(0).handle_always(serve);
-    world.server(1).handle_always(serve);
-    auto const answer = ask(world.caller_port(), {.path = "/resume/x"});
-    EXPECT_TRUE(answer.complete);
-    EXPECT_EQ(answer.body, events(1, 6));
+    cluster.server(0).handle_always(serve);
+    cluster.server(1).handle_always(serve);
+    auto const response = ask(cluster.caller_port(), {.path = "/resume/x"});
+    EXPECT_TRUE(response.complete);
+    EXPECT_EQ(response.body, events(1, 6));
 }
 
 // An engine stops responding before the first event, without a reset. The call must be
 // sent to another engine.
 TEST(platform_calls, resumable_stream_without_a_first_event_goes_to_another_server)
 {
-    entry_cluster world;
-    world.server(0).handle_always(
+    entry_cluster cluster;
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         {
             eventually([&] { return connection.closed_by_peer(); });
             return false;
         });
-    world.server(1).handle_always(stream_of(1, 3, true));
+    cluster.server(1).handle_always(stream_of(1, 3, true));
     for (int call = 0; call < 2; ++call)
     {
-        auto const answer =
-            ask(world.caller_port(), {.path = "/resume/x", .id = std::to_string(call)});
-        EXPECT_EQ(answer.body, events(1, 3));
+        auto const response =
+            ask(cluster.caller_port(), {.path = "/resume/x", .id = std::to_string(call)});
+        EXPECT_EQ(response.body, events(1, 3));
     }
 }
 
@@ -94,24 +94,24 @@
 // the call must not run a second time.
 TEST(platform_calls, broken_stream_does_not_look_whole)
 {
-    entry_cluster world;
-    world.server(0).handle_always(stream_of(1, 3, false, "id: 4\nda"));
-    world.server(1).handle_always(stream_of(1, 3, false, "id: 4\nda"));
-    auto const answer = ask(world.caller_port(), {.path = "/stream/x"});
-    EXPECT_EQ(answer.status, 200);
-    EXPECT_FALSE(answer.complete);
-    EXPECT_EQ(answer.body, events(1, 3));
-    EXPECT_EQ(world.server(0).received_requests().size() +
-                  world.server(1).received_requests().size(),
+    entry_cluster cluster;
+    cluster.server(0).handle_always(stream_of(1, 3, false, "id: 4\nda"));
+    cluster.server(1).handle_always(stream_of(1, 3, false, "id: 4\nda"));
+    auto const response = ask(cluster.caller_port(), {.path = "/stream/x"});
+    EXPECT_EQ(response.status, 200);
+    EXPECT_FALSE(response.complete);
+    EXPECT_EQ(response.body, events(1, 3));
+    EXPECT_EQ(cluster.server(0).received_requests().size() +
+                  cluster.server(1).received_requests().size(),
               1U);
 }
 
 // Events must reach the caller as they are generated, not at the end of the stream.
 TEST(platform_calls, events_are_passed_on_while_the_stream_runs)
 {
-    entry_cluster     world(one_server());
+    entry_cluster     cluster(one_server());
     std::atomic<bool> seen{false};
-    world.server(0).handle_always(
+    cluster.server(0).handle_always(
         [&](wire_request const& request, wire_connection& connection)
         {
             connection.send(server_standin::stream_head(request) +
@@ -120,7 +120,7 @@
             connection.send("0\r\n\r\n");
             return true;
         });
-    raw_caller caller(world.caller_port());
+    raw_caller caller(cluster.caller_port());
     caller.send(make_request({.path = "/stream/x"}));
     caller.read_until("data: piece 1");
     seen = true;
@@ -131,10 +131,10 @@
 // address and handle of the KV cache.
 TEST(platform_calls, prompt_read_apart_is_fetched_by_the_decoding_engine)
 {
-    entry_cluster world;
-    world.list_engine(world.server(0), "prefill");
-    world.list_engine(world.server(1), "decode");
-    world.server(0).handle_always(
+    entry_cluster cluster;
+    cluster.list_engine(cluster.server(0), "prefill");
+    cluster.list_engine(cluster.server(1), "decode");
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         {
             connection.send(wire_response(
@@ -142,16 +142,16 @@
             return true;
         });
     std::this_thread::sleep_for(milliseconds{1500}); // the entries are read once a second
-    auto const answer =
-        ask(world.caller_port(), {.path = "/model/x",
-                                  .fields = "Model: m\r\nToken-Count: 9000,5\r\n"
-                                            "Prefix-Hash: aa:1000,bb:8000\r\n"});
-    ASSERT_EQ(answer.body, "served by i-1");
-    auto const read = world.server(0).received_requests().at(0);
-    auto const run = world.server(1).received_requests().at(0);
+    auto const response =
+        ask(cluster.caller_port(), {.path = "/model/x",
+                                    .fields = "Model: m\r\nToken-Count: 9000,5\r\n"
+                                              "Prefix-Hash: aa:1000,bb:8000\r\n"});
+    ASSERT_EQ(response.body, "served by i-1");
+    auto const read = cluster.server(0).received_requests().at(0);
+    auto const run = cluster.server(1).received_requests().at(0);
     EXPECT_EQ(read.field("serving-stage"), "prefill");
     EXPECT_EQ(run.field("kv-source"),
-              "127.0.0.1:" + std::to_string(world.server(0).port()) + "/h1");
+              "127.0.0.1:" + std::to_string(cluster.server(0).port()) + "/h1");
     EXPECT_EQ(run.field("prefix-hash"), "aa:1000,bb:8000");
 }
 
@@ -160,10 +160,10 @@
 // taken from the retry budget; once it is exhausted, the call is refused.
 TEST(platform_calls, reads_that_are_turned_away_draw_on_the_retries)
 {
-    entry_cluster world({.bounds = "retry_ratio = 0\nretry_slack = 1\n"});
-    world.list_engine(world.server(0), "prefill");
-    world.list_engine(world.server(1), "decode");
-    world.server(0).handle_always(
+    entry_cluster cluster({.bounds = "retry_ratio = 0\nretry_slack = 1\n"});
+    cluster.list_engine(cluster.server(0), "prefill");
+    cluster.list_engine(cluster.server(1), "decode");
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         {
             connection.send(wire_response(503, "Not-Executed: 1\r\n", ""));
@@ -173,12 +173,12 @@
     request_options const options{.path = "/model/x",
                                   .fields = "Model: m\r\nToken-Count: 9000,5\r\n"
                                             "Prefix-Hash: aa:1000,bb:8000\r\n"};
-    EXPECT_EQ(ask(world.caller_port(), options).body, "served by i-1");
+    EXPECT_EQ(ask(cluster.caller_port(), options).body, "served by i-1");
     std::this_thread::sleep_for(milliseconds{400}); // its backoff is over
-    auto const second = ask(world.caller_port(), options);
+    auto const second = ask(cluster.caller_port(), options);
     EXPECT_EQ(second.status, 503);
     EXPECT_NE(second.body.find("budget"), std::string::npos);
-    EXPECT_EQ(world.server(1).received_requests().size(), 1U);
+    EXPECT_EQ(cluster.server(1).received_requests().size(), 1U);
 }
 
 // Engines that restart interrupt prefills. Each of them has reached an engine; if the
@@ -186,43 +186,43 @@
 // the allowed retries.
 TEST(platform_calls, reads_that_break_off_draw_on_the_retries)
 {
-    entry_cluster world({.bounds = "retry_ratio = 0\nretry_slack = 1\n"});
-    world.list_engine(world.server(0), "prefill");
-    world.list_engine(world.server(1), "decode");
-    world.server(0).handle_always([](wire_request const&, wire_connection&)
-                                  { return false; });
+    entry_cluster cluster({.bounds = "retry_ratio = 0\nretry_slack = 1\n"});
+    cluster.list_engine(cluster.server(0), "prefill");
+    cluster.list_engine(cluster.server(1), "decode");
+    cluster.server(0).handle_always([](wire_request const&, wire_connection&)
+                                    { return false; });
     std::this_thread::sleep_for(milliseconds{1500}); // the entries are read once a second
     request_options const options{.path = "/model/x",
                                   .fields = "Model: m\r\nToken-Count: 9000,5\r\n"
                                             "Prefix-Hash: aa:1000,bb:8000\r\n"};
-    EXPECT_EQ(ask(world.caller_port(), options).body, "served by i-1");
+    EXPECT_EQ(ask(cluster.caller_port(), options).body, "served by i-1");
     std::this_thread::sleep_for(milliseconds{700}); // its backoff is over
-    auto const second = ask(world.caller_port(), options);
+    auto const second = ask(cluster.caller_port(), options);
     EXPECT_EQ(second.status, 503);
     EXPECT_NE(second.body.find("budget"), std::string::npos);
-    EXPECT_EQ(world.server(1).received_requests().size(), 1U);
+    EXPECT_EQ(cluster.server(1).received_requests().size(), 1U);
 }
 
 // The response to a prefill is lost without a reset. A prefill may be repeated, so the
 // call must be sent to another engine in time, and not wait until its caller disconnects.
 TEST(platform_calls, lost_answer_of_a_read_does_not_use_up_the_callers_time)
 {
-    entry_cluster world;
-    world.list_engine(world.server(0), "prefill");
-    world.list_engine(world.server(1), "decode");
-    world.server(0).handle_always(
+    entry_cluster cluster;
+    cluster.list_engine(cluster.server(0), "prefill");
+    cluster.list_engine(cluster.server(1), "decode");
+    cluster.server(0).handle_always(
         [](wire_request const&, wire_connection& connection)
         {
             eventually([&] { return connection.closed_by_peer(); });
             return false;
         });
     std::this_thread::sleep_for(milliseconds{1500}); // the entries are read once a second
-    auto const answer =
-        ask(world.caller_port(), {.path = "/model/x",
-                                  .fields = "Model: m\r\nToken-Count: 9000,5\r\n"
-                                            "Prefix-Hash: aa:1000,bb:8000\r\n"});
-    EXPECT_EQ(answer.body, "served by i-1");
-    EXPECT_EQ(world.server(1).received_requests().at(0).field("kv-source"), "");
+    auto const response =
+        ask(cluster.caller_port(), {.path = "/model/x",
+                                    .fields = "Model: m\r\nToken-Count: 9000,5\r\n"
+                                              "Prefix-Hash: aa:1000,bb:8000\r\n"});
+    EXPECT_EQ(response.body, "served by i-1");
+    EXPECT_EQ(cluster.server(1).received_requests().at(0).field("kv-source"), "");
 }
 
 // 2. Disconnecting callers
@@ -231,18 +231,18 @@
 // be closed at once, since its further work would delay other callers.
 TEST(platform_calls, server_is_released_when_the_caller_leaves)
 {
-    entry_cluster     world(one_server());
+    entry_cluster     cluster(one_server());
     std::atomic<bool> released{false};
-    world.server(0).handle_always(
+    cluster.server(0).handle_always(
         [&](wire_request const&, wire_connection& connection)
         {
             released = eventually([&] { return connection.closed_by_peer(); }, 3000);
             return false;
         });
-    raw_caller caller(world.caller_port());
+    raw_caller caller(cluster.caller_port());
     caller.send(make_request({.path = "/stream/x"}));
     ASSERT_TRUE(
-        eventually([&] { return world.server(0).received_requests().size() == 1; }));
+        eventually([&] { return cluster.server(0).received_requests().size() == 1; }));
     caller.close();
     EXPECT_TRUE(eventually([&] { return released.load(); }));
 }
@@ -251,18 +251,18 @@
 // the call, which would take an engine's time from other callers.
 TEST(platform_calls, call_read_after_its_caller_left_reaches_no_server)
 {
-    entry_cluster world(one_server());
+    entry_cluster cluster(one_server());
     for (std::string const path : {"/stream/x", "/repeat/x"})
     {
-        raw_caller caller(world.caller_port());
-        world.daemon(0).signal(SIGSTOP);
+        raw_caller caller(cluster.caller_port());
+        cluster.daemon(0).signal(SIGSTOP);
         caller.send(make_request({.path = path}));
         std::this_thread::sleep_for(milliseconds{100});
         caller.close();
         std::this_thread::sleep_for(milliseconds{100});
-        world.daemon(0).signal(SIGCONT);
+        cluster.daemon(0).signal(SIGCONT);
         std::this_thread::sleep_for(milliseconds{500});
-        EXPECT_TRUE(world.server(0).received_requests().empty()) << path;
+        EXPECT_TRUE(cluster.server(0).received_requests().empty()) << path;
     }
 }
 
--- a/tests/property/not_run_property_test.cpp
+++ b/tests/property/not_run_property_test.cpp
@@ -1,7 +1,7 @@
 // Random faults of log, service and entry VMs, with fakes at the ports. A call reported
 // as `not_run` must not have run, and a call that must not be repeated runs at most once.
 //
-// Index: 1 world, 2 fakes, 3 entry VM, 4 service calls, 5 model calls
+// Index: 1 actual state, 2 fakes, 3 entry VM, 4 service calls, 5 model calls
 #include "app/idempotency_log.hpp"
 #include "app/model_run.hpp"
 #include "app/service_path.hpp"
@@ -18,7 +18,7 @@
 namespace
 {
 
-// 1. World
+// 1. Actual state
 
 enum class fault
 {
@@ -37,7 +37,7 @@
 struct entry_vm;
 
 /// The actual state, independent of what the entry VMs believe.
-struct world
+struct actual_state
 {
     std::vector<std::string>   log;
     std::deque<std::string>    late;
@@ -105,8 +105,8 @@
 /// A crashed entry VM has no further effect, whatever its code still does.
 struct fake_log
 {
-    world& all;
-    bool&  dead;
+    actual_state& all;
+    bool&         dead;
 
     leaf::result<std::uint64_t> append(std::string const& text)
     {
@@ -150,7 +150,7 @@
 
 struct fake_backend
 {
-    world&        all;
+    actual_state& all;
     bool&         dead;
     std::uint64_t tokens = 0; // of every engine's response
 
@@ -254,7 +254,7 @@
 
 struct entry_vm
 {
-    entry_vm(world& value, std::string owner)
+    entry_vm(actual_state& value, std::string owner)
         : all(value), log{value, dead}, backend{value, dead}, writer(log, store),
           idempotency(
               writer, store, std::move(owner),
@@ -281,7 +281,7 @@
         }
     }
 
-    world&                               all;
+    actual_state&                        all;
     bool                                 dead = false;
     fake_log                             log;
     fake_backend                         backend;
@@ -297,7 +297,7 @@
     std::size_t                          liveness_queries = 0;
 };
 
-std::uint64_t world::append(std::string const& text)
+std::uint64_t actual_state::append(std::string const& text)
 {
     log.push_back(text);
     auto const offset = log.size();
@@ -310,7 +310,7 @@
 
 // 4. Service calls
 
-/// What the caller of one attempt was told.
+/// Result of one attempt as its caller receives it.
 struct send_outcome
 {
     std::string              request_id;
@@ -462,7 +462,7 @@
         }
     }
 
-    world                                  all;
+    actual_state                           all;
     std::vector<std::unique_ptr<entry_vm>> entries;
     std::vector<send_outcome>              outcomes;
     std::map<std::string, bool>            must_answer;
@@ -530,7 +530,7 @@
 {
     auto const faults = *rc::gen::resize(
         8, rc::gen::container<std::deque<int>>(any_fault(fault::killed_before)));
-    world all;
+    actual_state all;
     for (auto const value : faults)
     {
         all.faults.push_back(static_cast<fault>(value));
--- a/tests/property/order_property_test.cpp
+++ b/tests/property/order_property_test.cpp
@@ -105,7 +105,7 @@
 
 RC_GTEST_PROP(order_property, only_the_current_epoch_opens_and_closes_orders, ())
 {
-    order_records world;
+    order_records simulation;
     auto const steps = *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
         rc::gen::tuple(rc::gen::inRange(0, 5), rc::gen::inRange(0, 3),
                        rc::gen::inRange(0, 3), rc::gen::inRange(0, 12)));
@@ -113,23 +113,23 @@
     {
         if (what == 0)
         {
-            world.claim(who);
+            simulation.claim(who);
         }
         else if (what < 3)
         {
-            world.intend(who, target, id);
+            simulation.intend(who, target, id);
         }
         else
         {
-            world.settle(who, id);
+            simulation.settle(who, id);
         }
     }
     ledger other;
-    for (std::size_t index = 0; index < world.log.size(); ++index)
+    for (std::size_t index = 0; index < simulation.log.size(); ++index)
     {
-        other.apply(index + 1, world.log[index]);
+        other.apply(index + 1, simulation.log[index]);
     }
-    RC_ASSERT(other == world.fold());
+    RC_ASSERT(other == simulation.fold());
     // A fold restored from a snapshot equals the saved one.
     wire::order_state_snapshot snapshot;
     other.orders().save(snapshot);
@@ -278,7 +278,7 @@
 RC_GTEST_PROP(order_property, nothing_is_bought_twice_or_missed, ())
 {
     auto const least = *rc::gen::inRange<std::int64_t>(1, 4);
-    purchases  world(least, *rc::gen::inRange<std::int64_t>(0, longest_lag + 1));
+    purchases  simulation(least, *rc::gen::inRange<std::int64_t>(0, longest_lag + 1));
     auto const steps = *rc::gen::container<std::vector<std::tuple<int, std::int64_t>>>(
         rc::gen::tuple(rc::gen::inRange(0, 8),
                        rc::gen::inRange<std::int64_t>(0, longest_delay + 1)));
@@ -286,20 +286,20 @@
     {
         if (what == 7)
         {
-            world.take_over();
+            simulation.take_over();
         }
         else
         {
-            world.poll(what < 4 ? static_cast<delivery>(what) : delivery::answered,
-                       delay);
+            simulation.poll(what < 4 ? static_cast<delivery>(what) : delivery::answered,
+                            delay);
         }
-        RC_ASSERT(world.servers() <= least);
+        RC_ASSERT(simulation.servers() <= least);
     }
     for (int round = 0; round < 300; ++round)
     {
-        world.poll(delivery::answered, 0);
+        simulation.poll(delivery::answered, 0);
     }
-    RC_ASSERT(world.servers() == least);
+    RC_ASSERT(simulation.servers() == least);
 }
 
 } // namespace
--- a/tests/property/policy_property_test.cpp
+++ b/tests/property/policy_property_test.cpp
@@ -29,9 +29,9 @@
     limit_grant grant{};
 };
 
-struct limit_world
+struct limit_simulation
 {
-    explicit limit_world(limit_terms shared) : terms(shared)
+    explicit limit_simulation(limit_terms shared) : terms(shared)
     {
         for (std::size_t entry = 0; entry < entry_count; ++entry)
         {
@@ -107,8 +107,8 @@
 // shares must never add up to more than the limit.
 RC_GTEST_PROP(limit_book, shares_never_add_up_to_more_than_the_limit, ())
 {
-    limit_world world({.entries = static_cast<std::int64_t>(entry_count)});
-    auto const  steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
+    limit_simulation simulation({.entries = static_cast<std::int64_t>(entry_count)});
+    auto const       steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 6), rc::gen::inRange(0, 10'000)));
     for (auto const& [kind, value] : steps)
     {
@@ -118,36 +118,36 @@
         switch (kind)
         {
         case 0:
-            world.books[entry].set_demand("noord", value * 5);
+            simulation.books[entry].set_demand("noord", value * 5);
             break;
         case 1:
-            if (auto const ask = world.books[entry].ask("noord", world.now))
+            if (auto const ask = simulation.books[entry].ask("noord", simulation.now))
             {
                 message sent;
                 sent.to = peer;
                 sent.from = entry;
                 sent.ask = *ask;
-                world.wire.push_back(sent);
+                simulation.wire.push_back(sent);
             }
             break;
         case 2:
-            world.deliver(static_cast<std::size_t>(value), false);
+            simulation.deliver(static_cast<std::size_t>(value), false);
             break;
         case 3:
-            world.deliver(static_cast<std::size_t>(value),
-                          true); // it is delivered again later
+            simulation.deliver(static_cast<std::size_t>(value),
+                               true); // it is delivered again later
             break;
         case 4:
-            world.now += millis{value / 4};
+            simulation.now += millis{value / 4};
             break;
         default:
             if (value % 5 == 0)
             {
-                world.start(entry);
+                simulation.start(entry);
             }
             break;
         }
-        RC_ASSERT(world.in_use() <= limit_world::limit);
+        RC_ASSERT(simulation.in_use() <= limit_simulation::limit);
     }
 }
 
--- a/tests/support/model_caller.cpp
+++ b/tests/support/model_caller.cpp
@@ -16,9 +16,9 @@
 {
 using nlohmann::json;
 
-json messages_of(chat_request const& question)
+json messages_of(chat_request const& chat)
 {
-    return json::array({{{"role", "user"}, {"content", question.prompt}}});
+    return json::array({{{"role", "user"}, {"content", chat.prompt}}});
 }
 
 void take_event(std::string_view data, model_response& answer)
@@ -67,33 +67,34 @@
 }
 } // namespace
 
-bool model_response::whole(chat_request const& question) const
+bool model_response::whole(chat_request const& chat) const
 {
     return status == 200 && ended && text == expected &&
-           stated_tokens == static_cast<std::uint64_t>(question.tokens);
+           stated_tokens == static_cast<std::uint64_t>(chat.tokens);
 }
 
-model_response call_model(fleet const& system, int node, chat_request const& question,
+model_response call_model(fleet const& system, int node, chat_request const& chat,
                           std::function<void()> const& on_bytes)
 {
-    auto const      port = question.port != 0 ? question.port : system.node_port(node);
+    auto const      port = chat.port != 0 ? chat.port : system.node_port(node);
     httplib::Client client("127.0.0.1", port);
-    client.set_read_timeout(question.timeout_s);
+    client.set_read_timeout(chat.timeout_s);
     model_response answer;
-    answer.expected = expected_text(question);
+    answer.expected = expected_text(chat);
     std::string      rest;
     sse_reader       reader;
     httplib::Request request;
     request.method = "POST";
     request.path = "/v1/chat/completions";
-    auto const key = question.key.empty() ? system.key(question.workspace) : question.key;
+    auto const key = chat.key.empty() ? system.key(chat.workspace) : chat.key;
     request.headers = {{"Authorization", "Bearer " + key},
                        {"Content-Type", "application/json"}};
-    request.body = json{{"model", "wording"},
-                        {"messages", messages_of(question)},
-                        {"max_tokens", question.tokens},
-                        {"stream", question.stream}}
-                       .dump();
+    request.body = json{
+        {"model", "wording"},
+        {"messages", messages_of(chat)},
+        {"max_tokens", chat.tokens},
+        {"stream",
+         chat.stream}}.dump();
     request.content_receiver =
         [&](char const* data, std::size_t size, std::uint64_t, std::uint64_t)
     {
@@ -116,19 +117,19 @@
         return true;
     };
     client.send(request);
-    if (!question.stream || answer.status != 200)
+    if (!chat.stream || answer.status != 200)
     {
         take_body(rest, answer);
     }
     return answer;
 }
 
-std::string expected_text(chat_request const& question)
+std::string expected_text(chat_request const& chat)
 {
-    auto const  prompt = messages_of(question).dump();
+    auto const  prompt = messages_of(chat).dump();
     auto const  hash = XXH64(prompt.data(), prompt.size(), 0);
     std::string text;
-    for (int index = 0; index < question.tokens; ++index)
+    for (int index = 0; index < chat.tokens; ++index)
     {
         text += standins::generate_token(hash, static_cast<std::uint64_t>(index));
     }
@@ -136,18 +137,18 @@
 }
 
 caller_group::caller_group(fleet const& system, std::vector<int> nodes, int callers,
-                           chat_request question)
+                           chat_request chat)
 {
     for (int index = 0; index < callers; ++index)
     {
         threads_.emplace_back(
-            [this, &system, nodes, question, index]
+            [this, &system, nodes, chat, index]
             {
                 for (auto turn = static_cast<std::size_t>(index); !stopping_; ++turn)
                 {
                     // Each prompt differs: equal prompts in flight on two servers that
                     // crash would become one suspect of being poison.
-                    auto own = question;
+                    auto own = chat;
                     own.prompt +=
                         " " + std::to_string(index) + "/" + std::to_string(turn);
                     auto answer = call_model(system, nodes[turn % nodes.size()], own);
--- a/tests/support/model_caller.hpp
+++ b/tests/support/model_caller.hpp
@@ -40,23 +40,23 @@
     std::string   connection; // header Connection
     std::string   expected;   // the text that every engine generates for it
 
-    bool whole(chat_request const& question) const;
+    bool whole(chat_request const& chat) const;
 };
 
 /// Calls a node; `on_bytes` runs whenever a part of the response arrives.
 model_response call_model(
-    fleet const& system, int node, chat_request const& question = {},
+    fleet const& system, int node, chat_request const& chat = {},
     std::function<void()> const& on_bytes = [] {});
 
 /// The text that every engine generates for the request.
-std::string expected_text(chat_request const& question);
+std::string expected_text(chat_request const& chat);
 
 /// Threads that call the nodes in turn until stop() or destruction.
 class caller_group
 {
 public:
     caller_group(fleet const& system, std::vector<int> nodes, int callers,
-                 chat_request question);
+                 chat_request chat);
     ~caller_group();
 
     /// Stops the callers and returns all responses.
--- a/tests/unit/prefix_directory_test.cpp
+++ b/tests/unit/prefix_directory_test.cpp
@@ -67,10 +67,10 @@
     prompt const     call{{"a", 100}, {"own", 10}};
     sender.sent("e", call, millis{0}, at(0));
     sender.sent("e", call, millis{0}, at(10));
-    auto const news = sender.take_updates()[update_source::own];
-    ASSERT_EQ(news.size(), 1U);
-    EXPECT_EQ(news.front().parts.size(), 1U);
-    receiver.hear(news.front(), update_source::centre, at(100));
+    auto const updates = sender.take_updates()[update_source::own];
+    ASSERT_EQ(updates.size(), 1U);
+    EXPECT_EQ(updates.front().parts.size(), 1U);
+    receiver.hear(updates.front(), update_source::centre, at(100));
     EXPECT_EQ(receiver.cached(call, at(101)).at("e").ready, 0); // still in prefill
     EXPECT_EQ(receiver.cached(call, at(600)), only("e", 100));
     EXPECT_TRUE(sender.take_updates().empty());
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -171,34 +171,34 @@
     {
         std::string name = "workspace-";
         name += std::to_string(index);
-        auto const home = rank_owners(name, offered).front();
-        ++homes[home];
-        moved += home != "f" && rank_owners(name, fewer).front() != home ? 1 : 0;
+        auto const owner = rank_owners(name, offered).front();
+        ++owners[owner];
+        moved += owner != "f" && rank_owners(name, fewer).front() != owner ? 1 : 0;
     }
     EXPECT_EQ(moved, 0);
-    for (auto const& [home, count] : homes)
+    for (auto const& [owner, count] : owners)
     {
-        EXPECT_GT(count, workspaces / 12) << home;
+        EXPECT_GT(count, workspaces / 12) << owner;
     }
 }
 
 // Two VMs that both act as the owner would grant twice the quota.
 TEST(quota_owner, vm_that_hears_one_before_it_names_that_one)
 {
-    quota_owner home{terms};
+    quota_owner owner{terms};
     owner_view  view{.listed = true, .stopping = false, .predecessor = "a", .share = 1};
-    auto const  answer = home.answer({"w", 10, ""}, small_quota, view, at_ms(0));
+    auto const  answer = owner.answer({"w", 10, ""}, small_quota, view, at_ms(0));
     EXPECT_EQ(answer.outcome, quota_outcome::declined);
     EXPECT_EQ(answer.home, "a");
-    auto const left = home.answer({"w", 10, "a"}, small_quota, view, at_ms(0));
+    auto const left = owner.answer({"w", 10, "a"}, small_quota, view, at_ms(0));
     EXPECT_EQ(left.outcome, quota_outcome::granted); // "a" replied that it stops
 }
 
 TEST(quota_owner, vm_that_stops_owns_no_quota)
 {
-    quota_owner home{terms};
+    quota_owner owner{terms};
     owner_view  view{.listed = true, .stopping = true, .predecessor = {}, .share = 1};
-    auto const  answer = home.answer({"w", 10, ""}, small_quota, view, at_ms(0));
+    auto const  answer = owner.answer({"w", 10, ""}, small_quota, view, at_ms(0));
     EXPECT_EQ(answer.outcome, quota_outcome::declined);
     EXPECT_TRUE(answer.home.empty());
 }
--- a/tests/unit/retry_gate_test.cpp
+++ b/tests/unit/retry_gate_test.cpp
@@ -30,7 +30,7 @@
 }
 
 // Hundreds of VMs that read the store through relays would each probe it during an
-// outage, although the relays alone notice its return soon enough.
+// outage, although the probes of the relays alone notice its end soon enough.
 TEST(retry_gate, slow_retries_probe_an_outage_rarely_and_open_on_success)
 {
     retry_gate             gate{slow_retries};
