--- a/tests/failure/at_most_once_test.cpp
+++ b/tests/failure/at_most_once_test.cpp
@@ -260,8 +260,8 @@
     {"three_entries_at_once", true, three_entries_at_once},
 };
 
-/// A caller repeats an order that is not idempotent, through any entry VM, until it
-/// receives a final response. The order must not run twice, and after `not_run` it must
+/// A caller repeats a call that is not idempotent, through any entry VM, until it
+/// receives a final response. The call must not run twice, and after `not_run` it must
 /// not have run at all. Each interruption hits the call at another step.
 class at_most_once : public testing::TestWithParam<interruption>
 {
@@ -297,7 +297,7 @@
 INSTANTIATE_TEST_SUITE_P(cuts, at_most_once, testing::ValuesIn(interruptions),
                          [](auto const& point) { return std::string{point.param.name}; });
 
-/// A caller uses one idempotency key for two different orders. The second must not be
+/// A caller uses one idempotency key for two different calls. The second must not be
 /// answered with the result of the first.
 TEST(idempotency_key, another_body_under_the_same_key_is_refused)
 {
--- a/tests/platform/answers_test.cpp
+++ b/tests/platform/answers_test.cpp
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 
 // A server sends a second, late response to an earlier call where the response to the
-// next call is expected, and a caller would read the status of another caller's order.
+// next call is expected, and a caller would get the response to another caller's call.
 // The daemon must skip it by its id and relay the right one.
 TEST(platform_calls, late_answer_to_an_earlier_call_is_not_taken_for_the_next)
 {
--- a/tests/platform/relays_test.cpp
+++ b/tests/platform/relays_test.cpp
@@ -151,12 +151,12 @@
 TEST(record_link, relayed_records_are_kept_only_by_vms_that_are_queried)
 {
     linked_vms vms;
-    auto       heard = one_record();
-    heard.relayed = true;
-    vms.relay.merge("rules", heard, boot_clock::now());
+    auto       received = one_record();
+    received.relayed = true;
+    vms.relay.merge("rules", received, boot_clock::now());
     EXPECT_FALSE(vms.fetch({"rules", 7, millis{50}}));
     vms.relay.serve(true);
-    vms.relay.merge("rules", heard, boot_clock::now());
+    vms.relay.merge("rules", received, boot_clock::now());
     EXPECT_TRUE(vms.fetch({"rules", 7, millis{50}}));
 }
 
--- a/tests/platform/sends_test.cpp
+++ b/tests/platform/sends_test.cpp
@@ -75,7 +75,7 @@
 
 // The address of a server has been reused by another one, which responds that it is the
 // wrong server and has not run the call. Another server of the service must get it.
-TEST(platform_calls, order_at_a_reused_address_goes_on_to_a_living_server)
+TEST(platform_calls, call_to_a_reused_address_goes_on_to_a_living_server)
 {
     entry_cluster cluster;
     cluster.server(0).handle_always(
--- a/tests/platform/streams_test.cpp
+++ b/tests/platform/streams_test.cpp
@@ -129,7 +129,7 @@
 
 // A prompt is prefilled on one engine and the call decoded on another, which must get the
 // address and handle of the KV cache.
-TEST(platform_calls, prompt_read_apart_is_fetched_by_the_decoding_engine)
+TEST(platform_calls, prompt_prefilled_elsewhere_is_fetched_by_the_decoding_engine)
 {
     entry_cluster cluster;
     cluster.list_engine(cluster.server(0), "prefill");
@@ -158,7 +158,7 @@
 // Prefill engines refuse all prompts, and each such call is sent to another engine.
 // Without a bound, a full fleet would get twice the calls, so the second attempt must be
 // taken from the retry budget; once it is exhausted, the call is refused.
-TEST(platform_calls, reads_that_are_turned_away_draw_on_the_retries)
+TEST(platform_calls, refused_prefills_draw_on_the_retry_budget)
 {
     entry_cluster cluster({.bounds = "retry_ratio = 0\nretry_slack = 1\n"});
     cluster.list_engine(cluster.server(0), "prefill");
@@ -184,7 +184,7 @@
 // Engines that restart interrupt prefills. Each of them has reached an engine; if the
 // following attempt weren't taken from the retry budget, the VMs together would exceed
 // the allowed retries.
-TEST(platform_calls, reads_that_break_off_draw_on_the_retries)
+TEST(platform_calls, interrupted_prefills_draw_on_the_retry_budget)
 {
     entry_cluster cluster({.bounds = "retry_ratio = 0\nretry_slack = 1\n"});
     cluster.list_engine(cluster.server(0), "prefill");
@@ -205,7 +205,7 @@
 
 // The response to a prefill is lost without a reset. A prefill may be repeated, so the
 // call must be sent to another engine in time, and not wait until its caller disconnects.
-TEST(platform_calls, lost_answer_of_a_read_does_not_use_up_the_callers_time)
+TEST(platform_calls, lost_response_of_a_prefill_does_not_use_up_the_callers_time)
 {
     entry_cluster cluster;
     cluster.list_engine(cluster.server(0), "prefill");
--- a/tests/property/folds_property_test.cpp
+++ b/tests/property/folds_property_test.cpp
@@ -360,9 +360,9 @@
         RC_ASSERT(store.with_ledger([&](ledger const& value)
                                     { return value == folded(log, 0, index + 1); }));
     }
-    auto const whole = folded(log, 0, log.size());
-    RC_ASSERT(in_force == whole.config().revision());
-    RC_ASSERT(store.rules_in_force() == whole.config().current());
+    auto const complete = folded(log, 0, log.size());
+    RC_ASSERT(in_force == complete.config().revision());
+    RC_ASSERT(store.rules_in_force() == complete.config().current());
 }
 
 RC_GTEST_PROP(ledger_store, a_false_peer_configuration_is_overruled_by_the_log, ())
@@ -372,7 +372,7 @@
     auto const   at = *rc::gen::inRange<std::size_t>(0, log.size() + 1);
     auto const   claimed = *rc::gen::inRange<std::uint64_t>(1, log.size() + 2);
     ledger_store store([] {});
-    auto const   whole = folded(log, 0, log.size());
+    auto const   complete = folded(log, 0, log.size());
     for (std::size_t index = 0; index < log.size(); ++index)
     {
         if (index == at)
@@ -389,7 +389,7 @@
         return;
     }
     bool const passed = claimed <= log.size();
-    RC_ASSERT(!passed || store.rules_in_force() == whole.config().current());
+    RC_ASSERT(!passed || store.rules_in_force() == complete.config().current());
 }
 
 // 4. Bounds
--- a/tests/property/lease_property_test.cpp
+++ b/tests/property/lease_property_test.cpp
@@ -392,18 +392,18 @@
         apply_event(model, event);
     }
     auto const prefix = *rc::gen::inRange<std::size_t>(0, model.log().size() + 1);
-    ledger     whole;
+    ledger     complete;
     ledger     from_text;
     for (std::size_t index = 0; index < prefix; ++index)
     {
         auto const& record = model.log()[index];
-        whole.apply(index + 1, record);
+        complete.apply(index + 1, record);
         auto const read =
             leaf::try_handle_all([&] { return parse_record(format_record(record)); },
                                  [] { return wire::log_record{}; });
         from_text.apply(index + 1, read);
     }
-    RC_ASSERT(whole == from_text);
+    RC_ASSERT(complete == from_text);
 }
 
 } // namespace
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -164,7 +164,7 @@
 {
     auto fewer = offered;
     fewer.pop_back();
-    std::map<std::string, int> homes;
+    std::map<std::string, int> owners;
     int                        moved = 0;
     constexpr int              workspaces = 600;
     for (int index = 0; index < workspaces; ++index)
@@ -183,7 +183,7 @@
 }
 
 // Two VMs that both act as the owner would grant twice the quota.
-TEST(quota_owner, vm_that_hears_one_before_it_names_that_one)
+TEST(quota_owner, vm_with_a_reachable_predecessor_names_it_as_owner)
 {
     quota_owner owner{terms};
     owner_view  view{.listed = true, .stopping = false, .predecessor = "a", .share = 1};
--- a/tests/unit/retry_gate_test.cpp
+++ b/tests/unit/retry_gate_test.cpp
@@ -76,7 +76,7 @@
 }
 
 // A VM loses the store and its relays, and a server leaves in the meantime. When the VM
-// is connected again, it must learn of that first: held back for two seconds more, it
+// is connected again, it must learn of that first. With a wait of two seconds more, it
 // sent calls to that server 13 s after the notice.
 TEST(retry_gate, a_vm_that_alone_lost_the_store_does_not_wait)
 {
--- a/tests/unit/server_health_updates_test.cpp
+++ b/tests/unit/server_health_updates_test.cpp
@@ -19,7 +19,7 @@
 
 // Without updates, engines that go down and up by turns cost every VM of a large fleet
 // two failed attempts each, which uses up the shared retry budget within seconds.
-TEST(server_health_news, a_lost_server_is_avoided_and_published_at_once)
+TEST(server_health_updates, a_lost_server_is_avoided_and_published_at_once)
 {
     server_health health;
     health.failed("e", true, at(0));
@@ -32,7 +32,7 @@
 
 // A full server has free slots again soon, and a single failed response says little. If
 // they were published, other VMs would avoid sound servers.
-TEST(server_health_news, full_servers_and_single_failures_are_not_published)
+TEST(server_health_updates, full_servers_and_single_failures_are_not_published)
 {
     server_health health;
     health.refused("full", at(0));
@@ -46,7 +46,7 @@
 
 // Relays that passed received updates back to each other would keep a server avoided
 // forever.
-TEST(server_health_news, updates_from_other_data_centres_are_not_sent_back)
+TEST(server_health_updates, updates_from_other_data_centres_are_not_sent_back)
 {
     server_health relay;
     relay.hear("e", millis{400}, update_source::others, at(0));
@@ -57,7 +57,7 @@
     EXPECT_FALSE(relay.avoided("e", at(401)));
 }
 
-TEST(server_health_news, an_own_success_overrides_received_updates)
+TEST(server_health_updates, an_own_success_overrides_received_updates)
 {
     server_health health;
     health.hear("e", millis{4000}, update_source::centre, at(0));
@@ -65,7 +65,7 @@
     EXPECT_FALSE(health.avoided("e", at(1)));
 }
 
-TEST(server_health_news, received_pauses_are_capped_at_the_longest_pause)
+TEST(server_health_updates, received_pauses_are_capped_at_the_longest_pause)
 {
     server_health health;
     health.hear("e", std::chrono::hours{5}, update_source::centre, at(0));
