--- a/tests/failure/service_targets_test.cpp
+++ b/tests/failure/service_targets_test.cpp
@@ -38,7 +38,7 @@
 }
 
 // A missed target costs a contract penalty, so the verdict must be right. All engines are
-// slow but answer: every call ends properly, only the time between its tokens is too
+// slow but respond: every call ends properly, only the time between its tokens is too
 // long. A verdict from counts of failures would be "held"; it must be "missed" and name
 // the calls, and the spans must hold the same times.
 TEST(service_targets, a_slow_engine_is_a_missed_target_though_every_call_ends_well)
--- a/tests/failure/whole_answer_test.cpp
+++ b/tests/failure/whole_answer_test.cpp
@@ -76,7 +76,7 @@
                          testing::Values("truncate", "crash_middle", "silent", "junk",
                                          "crossed"));
 
-/// Every engine truncates its responses. The caller must not take a part for the whole,
+/// Every engine truncates its responses. The caller must not take a part for all of it,
 /// which happens if a truncated chunked response ends like a complete one.
 TEST(whole_answer, a_short_answer_never_looks_whole)
 {
