--- a/tests/failure/shared_limits_test.cpp
+++ b/tests/failure/shared_limits_test.cpp
@@ -25,8 +25,8 @@
 // An entry VM that has just started, or that is isolated from its peers, must not admit
 // the full limit of a workspace on its own, or a caller that reaches several entry VMs
 // exceeds the limit. One of three entry VMs is restarted here. The caller must receive
-// refusals with the fate `not_run` and a time to retry, and the engines must receive
-// no more than the limit allows.
+// refusals with the fate `not_run` and a time to retry, and the engines must receive no
+// more than the limit allows.
 TEST(shared_limits, hold_over_entry_vms_that_restart_and_cannot_ask)
 {
     fleet      system;
