--- a/tests/unit/http_backend_test.cpp
+++ b/tests/unit/http_backend_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// An engine in the test process that answers every request with the same text.
+/// An engine in the test process that sends the same text for every request.
 class fake_engine
 {
 public:
