--- a/tests/unit/relay_plan_test.cpp
+++ b/tests/unit/relay_plan_test.cpp
@@ -89,18 +89,18 @@
     auto const readers = store_readers(vms);
     ASSERT_EQ(readers.size(), 1U);
     EXPECT_EQ(readers.front().capacity, 500);
-    std::set<std::string> asked_by_leads; // the reader and its backup
+    std::set<std::string> queried_by_leads; // the reader and its backup
     for (auto const& own : vms)
     {
         auto const plan = plan_relays(vms, own, {});
         EXPECT_TRUE(plan.relay || !plan.leads);
         if (plan.leads)
         {
-            asked_by_leads.insert(plan.records.begin(), plan.records.end());
+            queried_by_leads.insert(plan.records.begin(), plan.records.end());
         }
     }
-    EXPECT_EQ(asked_by_leads.size(), 2U);
-    EXPECT_EQ(asked_by_leads.count(readers.front().records), 1U);
+    EXPECT_EQ(queried_by_leads.size(), 2U);
+    EXPECT_EQ(queried_by_leads.count(readers.front().records), 1U);
 }
 
 // In fleets just small enough for a mesh, every VM read the store itself, and these
@@ -119,12 +119,12 @@
 
 void expect_no_cycle(std::set<vm_contact> const& vms)
 {
-    std::map<std::string, std::vector<std::string>> asks; // by address
+    std::map<std::string, std::vector<std::string>> queries; // by address
     for (auto const& own : vms)
     {
-        asks[own.records] = plan_relays(vms, own, {}).records;
+        queries[own.records] = plan_relays(vms, own, {}).records;
     }
-    for (auto const& [asker, first] : asks)
+    for (auto const& [asker, first] : queries)
     {
         std::set<std::string>    reached;
         std::vector<std::string> pending = first;
@@ -135,7 +135,7 @@
             EXPECT_NE(next, asker);
             if (reached.insert(next).second)
             {
-                pending.insert(pending.end(), asks[next].begin(), asks[next].end());
+                pending.insert(pending.end(), queries[next].begin(), queries[next].end());
             }
         }
     }
