--- a/tests/failure/service_targets_test.cpp
+++ b/tests/failure/service_targets_test.cpp
@@ -19,15 +19,15 @@
         {"model", "wording"}, {"prompt", "a line for Noor"}, {"max_tokens", 8}};
     httplib::Headers headers{{"Authorization", "Bearer " + system.key("north")}};
     client.set_read_timeout(30);
-    auto const answer =
+    auto const response =
         client.Post("/v1/completions", headers, body.dump(), "application/json");
-    return answer ? answer->status : 0;
+    return response ? response->status : 0;
 }
 
 json verdict(fleet const& system)
 {
-    auto const answer = system.admin(0, "/admin/targets");
-    for (auto const& each : answer.value("targets", json::array()))
+    auto const response = system.admin(0, "/admin/targets");
+    for (auto const& each : response.value("targets", json::array()))
     {
         if (each["workspace"] == "north")
         {
@@ -38,7 +38,7 @@
 }
 
 // A missed target costs a contract penalty, so the verdict must be right. All engines are
-// slow but answer: every call ends properly, only the time between its tokens is too
+// slow but respond: every call ends properly, only the time between its tokens is too
 // long. A verdict from counts of failures would be "held"; it must be "missed" and name
 // the calls, and the spans must hold the same times.
 TEST(service_targets, a_slow_engine_is_a_missed_target_though_every_call_ends_well)
--- a/tests/unit/retry_gate_test.cpp
+++ b/tests/unit/retry_gate_test.cpp
@@ -30,7 +30,7 @@
 }
 
 // Hundreds of VMs that read the store through relays would each probe it during an
-// outage, although the relays alone notice its return soon enough.
+// outage, although the probes of the relays alone notice its end soon enough.
 TEST(retry_gate, slow_retries_probe_an_outage_rarely_and_open_on_success)
 {
     retry_gate             gate{slow_retries};
@@ -76,7 +76,7 @@
 }
 
 // A VM loses the store and its relays, and a server leaves in the meantime. When the VM
-// is connected again, it must learn of that first: held back for two seconds more, it
+// is connected again, it must learn of that first. With a wait of two seconds more, it
 // sent calls to that server 13 s after the notice.
 TEST(retry_gate, a_vm_that_alone_lost_the_store_does_not_wait)
 {
