--- a/src/policy/relay_plan.cpp
+++ b/src/policy/relay_plan.cpp
@@ -54,8 +54,8 @@
                                         contacts const& own_relays, vm_contact const& own)
 {
     std::vector<std::string> records;
-    bool const               leads = own_relays.front() == own;
-    for (auto const& vm : leads ? store_readers(centres) : own_relays)
+    bool const               first_relay = own_relays.front() == own;
+    for (auto const& vm : first_relay ? store_readers(centres) : own_relays)
     {
         if (vm == own)
         {
@@ -86,7 +86,7 @@
     plan.mesh = all.size() <= options.mesh;
     plan.serves_records =
         std::find(own_relays.begin(), own_relays.end(), own) != own_relays.end();
-    plan.leads = own_relays.front() == own;
+    plan.first_relay = own_relays.front() == own;
     plan.relay = !plan.mesh && plan.serves_records;
     for (auto const& [name, members] : centres)
     {
--- a/src/policy/relay_plan.hpp
+++ b/src/policy/relay_plan.hpp
@@ -40,7 +40,7 @@
     bool                  mesh = true;   // every VM receives from every other one
     bool                  relay = false; // this VM adds up the digests it receives
     bool                  serves_records = false; // other VMs query this VM for records
-    bool                  leads = false;          // the first relay of its data centre
+    bool                  first_relay = false;    // the first relay of its data centre
     std::set<std::string> digests;                // addresses to receive digests from
     std::vector<std::string> records; // VMs to query in this order; empty: read the store
     std::vector<std::string> owners;  // possible owners of shared state, in any order
--- a/src/serving/peer_exchange.cpp
+++ b/src/serving/peer_exchange.cpp
@@ -154,7 +154,7 @@
     log_plan(plan);
     digests_.follow(plan.digests, scopes_of(plan));
     state_.serves_peers = plan.serves_records;
-    state_.is_first_relay = plan.leads;
+    state_.is_first_relay = plan.first_relay;
     state_.peers.follow(plan, state_.incarnation, state_.settings.data_centre);
     listed_vms_ = static_cast<std::int64_t>(vms.size());
     if (quotas_)
--- a/tests/unit/relay_plan_test.cpp
+++ b/tests/unit/relay_plan_test.cpp
@@ -93,8 +93,8 @@
     for (auto const& own : vms)
     {
         auto const plan = plan_relays(vms, own, {});
-        EXPECT_TRUE(plan.relay || !plan.leads);
-        if (plan.leads)
+        EXPECT_TRUE(plan.relay || !plan.first_relay);
+        if (plan.first_relay)
         {
             queried_by_leads.insert(plan.records.begin(), plan.records.end());
         }
@@ -188,7 +188,7 @@
                    .capacity = 120};
     auto const plan = plan_relays(vms, own, {});
     EXPECT_TRUE(plan.relay);
-    EXPECT_TRUE(plan.leads);
+    EXPECT_TRUE(plan.first_relay);
     EXPECT_EQ(plan.digests.size(), 2U);
     vms.insert(own);
     EXPECT_EQ(store_readers(vms).size(), 1U);
