--- a/src/policy/peer_loads.hpp
+++ b/src/policy/peer_loads.hpp
@@ -21,14 +21,14 @@
 struct server_load
 {
     std::int64_t running = 0;
-    std::int64_t unread = 0; // prompt tokens still to be prefilled
+    std::int64_t prefill_tokens = 0; // prompt tokens still to be prefilled
 
     auto operator<=>(server_load const&) const = default;
 
     void add(server_load const& other)
     {
         running += other.running;
-        unread += other.unread;
+        prefill_tokens += other.prefill_tokens;
     }
 
     /// Subtracts a part of this sum. The part may be slightly newer than the sum, so the
@@ -36,7 +36,7 @@
     void subtract(server_load const& part)
     {
         running = std::max<std::int64_t>(running - part.running, 0);
-        unread = std::max<std::int64_t>(unread - part.unread, 0);
+        prefill_tokens = std::max<std::int64_t>(prefill_tokens - part.prefill_tokens, 0);
     }
 };
 
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -154,7 +154,7 @@
     {
         placement  result{.server = each.server,
                           .prefill_only = is_prefill_engine(each),
-                          .unread = own_tokens_ + shared_tokens_ - each.cached,
+                          .prefill_tokens = own_tokens_ + shared_tokens_ - each.cached,
                           .wait_ms = queue_time(each)};
         auto const prefill_own = prefill_time(each, own_tokens_);
         auto const prefill_rest = prefill_time(each, shared_tokens_ - each.cached);
@@ -165,7 +165,7 @@
         if (fetched > 0 && fetch < prefill_rest)
         {
             result.fetch_from = best_cache_->server;
-            result.unread -= fetched;
+            result.prefill_tokens -= fetched;
             result.prefill_ms = fixed_time(each) + prefill_own + fetch;
         }
         return result;
@@ -192,12 +192,13 @@
     {
         return !is_prefill_engine(each) &&
                (!has_prefill_engine_ ||
-                each.load.unread + placed.unread <= costs_.max_colocated_tokens);
+                each.load.prefill_tokens + placed.prefill_tokens <=
+                    costs_.max_colocated_tokens);
     }
 
     double queue_time(candidate const& each) const
     {
-        return prefill_time(each, each.load.unread) +
+        return prefill_time(each, each.load.prefill_tokens) +
                static_cast<double>(each.load.running) * options_.stream_slowdown_ms;
     }
 
--- a/src/serving/call_log.cpp
+++ b/src/serving/call_log.cpp
@@ -30,7 +30,7 @@
         .add("server", plan.server)
         .add("work", plan.work)
         .add("run", plan.run)
-        .add("tokens", planned.unread)
+        .add("tokens", planned.prefill_tokens)
         .add("wait_ms", std::llround(planned.wait_ms))
         .add("read_ms", std::llround(planned.prefill_ms))
         .add("fetch", planned.fetch_from == nullptr ? "" : planned.fetch_from->id)
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -231,7 +231,8 @@
                 prefill_server = decode_server;
                 source = co_await run_prefill(prefill_server, planned);
                 // The plan points to servers that may have been removed meanwhile.
-                planned = placement{.unread = source.empty() ? planned.unread : 0};
+                planned = placement{.prefill_tokens =
+                                        source.empty() ? planned.prefill_tokens : 0};
                 if (!caller_.check_disconnected() && !choose_decode_server(decode_server))
                 {
                     co_await end_without_server();
@@ -274,7 +275,7 @@
     {
         exchange               link{state_, server};
         current_exchange_guard use{*this, link};
-        load_share             share{state_, server.id, placed.unread};
+        load_share             share{state_, server.id, placed.prefill_tokens};
         log_.attempt_started({server.id, "prompt", attempts_.history().runs(), placed},
                              admitted_);
         placement_.record_attempt(server.id, placed);
@@ -312,7 +313,7 @@
     {
         exchange               link{state_, server};
         current_exchange_guard use{*this, link};
-        load_share             share{state_, server.id, planned.unread};
+        load_share             share{state_, server.id, planned.prefill_tokens};
         log_.attempt_started({server.id, source.empty() ? "call" : "run",
                               attempts_.history().runs(), planned},
                              admitted_);
@@ -410,11 +411,11 @@
     {
         auto const took = boot_clock::now() - run_sent_at_;
         bool const plain = placement_.needs_prefill() && attempts_.history().runs() == 1;
-        if (plain && run_plan_.unread > 0 && !prefill_attempted_)
+        if (plain && run_plan_.prefill_tokens > 0 && !prefill_attempted_)
         {
             placement_.record_colocated_prefill(run_plan_, took);
         }
-        else if (plain && run_plan_.unread == 0 && prefill_attempted_)
+        else if (plain && run_plan_.prefill_tokens == 0 && prefill_attempted_)
         {
             placement_.record_handoff(took);
         }
--- a/src/serving/digest_link.cpp
+++ b/src/serving/digest_link.cpp
@@ -41,7 +41,7 @@
         entry->set_running(
             static_cast<std::uint64_t>(std::max<std::int64_t>(load.running, 0)));
         entry->set_unread(
-            static_cast<std::uint64_t>(std::max<std::int64_t>(load.unread, 0)));
+            static_cast<std::uint64_t>(std::max<std::int64_t>(load.prefill_tokens, 0)));
     }
     for (auto const& [service, demand] : digest.work.demands)
     {
@@ -90,7 +90,8 @@
     {
         // The sender lists its servers in key order, so inserting at the end is cheap.
         server_load const load{.running = static_cast<std::int64_t>(entry.running()),
-                               .unread = static_cast<std::int64_t>(entry.unread())};
+                               .prefill_tokens =
+                                   static_cast<std::int64_t>(entry.unread())};
         work.loads.insert_or_assign(work.loads.end(), entry.server(), load);
     }
     for (auto const& entry : message.demands())
--- a/src/serving/entry_state.cpp
+++ b/src/serving/entry_state.cpp
@@ -195,7 +195,7 @@
 {
     auto& load = state_.loads[server_];
     ++load.running;
-    load.unread += tokens_;
+    load.prefill_tokens += tokens_;
 }
 
 load_share::~load_share()
@@ -210,7 +210,7 @@
 
 void load_share::prefill_done()
 {
-    state_.loads[server_].unread -= tokens_;
+    state_.loads[server_].prefill_tokens -= tokens_;
     tokens_ = 0;
 }
 
--- a/src/serving/model_placement.cpp
+++ b/src/serving/model_placement.cpp
@@ -67,7 +67,7 @@
     {
         return std::nullopt;
     }
-    return placement{.server = server, .unread = call_.prompt_tokens()};
+    return placement{.server = server, .prefill_tokens = call_.prompt_tokens()};
 }
 
 backend_server const*
@@ -174,7 +174,7 @@
     if (state_.settings.learn_prefill_times)
     {
         meter().prefill_done(
-            {.tokens = planned.unread, .wait_ms = planned.wait_ms, .took = took});
+            {.tokens = planned.prefill_tokens, .wait_ms = planned.wait_ms, .took = took});
     }
 }
 
@@ -184,7 +184,7 @@
     if (state_.settings.learn_prefill_times)
     {
         meter().colocated_prefill_done(
-            {.tokens = planned.unread, .wait_ms = planned.wait_ms, .took = took});
+            {.tokens = planned.prefill_tokens, .wait_ms = planned.wait_ms, .took = took});
     }
 }
 
--- a/tests/property/load_relay_property_test.cpp
+++ b/tests/property/load_relay_property_test.cpp
@@ -71,7 +71,7 @@
     {
         auto const running = *rc::gen::inRange(0, 9);
         vm.own.loads["engine"].running = running;
-        vm.own.loads["engine"].unread = running * 1000;
+        vm.own.loads["engine"].prefill_tokens = running * 1000;
         vm.own.demands["models"].prompt_rate = running * 500.0;
         total += running;
     }
@@ -85,7 +85,7 @@
     {
         auto const others = total - vm.own.loads.at("engine").running;
         RC_ASSERT(vm.relay.at("engine", now).running == others);
-        RC_ASSERT(vm.relay.at("engine", now).unread == others * 1000);
+        RC_ASSERT(vm.relay.at("engine", now).prefill_tokens == others * 1000);
         RC_ASSERT(vm.relay.demand("models", now).prompt_rate ==
                   static_cast<double>(others) * 500.0);
     }
--- a/tests/replay/load_policy_test.cpp
+++ b/tests/replay/load_policy_test.cpp
@@ -103,7 +103,7 @@
             double const speed =
                 is_prefill_engine ? prefill_speed : prefill_speed_at_decode;
             token_queue[index] = std::max(0.0, token_queue[index] - speed * elapsed_s);
-            loads[index].unread = static_cast<std::int64_t>(token_queue[index]);
+            loads[index].prefill_tokens = static_cast<std::int64_t>(token_queue[index]);
         }
     }
 
@@ -169,11 +169,12 @@
             }
             auto const index = fleet.index_of(placed->server);
             total_wait_s +=
-                (fleet.token_queue[index] + static_cast<double>(placed->unread)) / speed;
-            fleet.token_queue[index] += static_cast<double>(placed->unread);
+                (fleet.token_queue[index] + static_cast<double>(placed->prefill_tokens)) /
+                speed;
+            fleet.token_queue[index] += static_cast<double>(placed->prefill_tokens);
             fleet.caches.sent(placed->server->id, call.prompt, millis{0}, fleet.now);
             decode_tokens +=
-                placed->prefill_only ? 0 : static_cast<double>(placed->unread);
+                placed->prefill_only ? 0 : static_cast<double>(placed->prefill_tokens);
         }
     }
     return {refused / calls, fleet.prefill_share_at_decode(duration_s, decode_tokens),
@@ -207,7 +208,7 @@
         {
             auto const again = fleet.place(call, tie_break);
             EXPECT_EQ(again->server, first->server);
-            EXPECT_EQ(again->unread, 6610);
+            EXPECT_EQ(again->prefill_tokens, 6610);
         }
     }
 }
@@ -235,15 +236,15 @@
     auto const      call = long_prompt(3);
     auto const      cache_holder = fleet.place(call, 1);
     fleet.caches.sent(cache_holder->server->id, call.prompt, millis{0}, fleet.now);
-    fleet.loads[fleet.index_of(cache_holder->server)].unread = 60'000;
+    fleet.loads[fleet.index_of(cache_holder->server)].prefill_tokens = 60'000;
     auto const fetched = fleet.place(call, 1);
     EXPECT_NE(fetched->server, cache_holder->server);
     EXPECT_EQ(fetched->fetch_from, cache_holder->server);
-    EXPECT_EQ(fetched->unread, 6610);
+    EXPECT_EQ(fetched->prefill_tokens, 6610);
     auto const recomputed = fleet.place(call, 1, {.fetch = false});
     EXPECT_NE(recomputed->server, cache_holder->server);
     EXPECT_EQ(recomputed->fetch_from, nullptr);
-    EXPECT_EQ(recomputed->unread, 512 + 4870 + 6610);
+    EXPECT_EQ(recomputed->prefill_tokens, 512 + 4870 + 6610);
 }
 
 // Colocated prefill makes the pauses of streams with long events too long, but not those
@@ -276,9 +277,9 @@
     simulated_fleet fleet(30, 60);
     for (auto& load : fleet.loads)
     {
-        load.unread = 4000;
+        load.prefill_tokens = 4000;
     }
-    fleet.loads[7].unread = 0;
+    fleet.loads[7].prefill_tokens = 0;
     fleet.costs.unreported_ms = unreported_ms;
     fleet.costs.sampled_engines = sampled_engines;
     std::mt19937_64                    random(11);
@@ -312,12 +313,12 @@
     simulated_fleet fleet(2, 2);
     for (auto& load : fleet.loads)
     {
-        load.unread = 500'000;
+        load.prefill_tokens = 500'000;
     }
     auto const placed = fleet.place(long_prompt(1), 1);
     EXPECT_GE(placed->wait_ms, 500'000 / fleet.costs.prefill_rate);
     EXPECT_TRUE(retry_after_if_late({*placed, true, millis{400}, millis{2500}}, {}));
-    fleet.loads[1].unread = 0;
+    fleet.loads[1].prefill_tokens = 0;
     auto const idle = fleet.place(long_prompt(1), 1);
     EXPECT_EQ(idle->server, &fleet.servers[1]);
     EXPECT_FALSE(retry_after_if_late({*idle, true, millis{400}, millis{2500}}, {}));
@@ -337,7 +338,7 @@
     EXPECT_FALSE(idle->prefill_only);
     for (auto& load : fleet.loads)
     {
-        load.unread = 900;
+        load.prefill_tokens = 900;
     }
     auto const busy = fleet.place(short_prompt, 1);
     EXPECT_TRUE(busy->prefill_only);
@@ -377,13 +378,13 @@
 
 TEST(load_policy, retry_after_is_when_the_queue_will_be_short)
 {
-    placement const placed{.unread = 6000, .wait_ms = 4000, .prefill_ms = 110};
+    placement const placed{.prefill_tokens = 6000, .wait_ms = 4000, .prefill_ms = 110};
     auto const      retry_after =
         retry_after_if_late({placed, true, millis{800}, millis{8000}}, {});
     ASSERT_TRUE(retry_after);
     EXPECT_EQ(*retry_after, wait_options{}.max_retry_after);
     EXPECT_FALSE(retry_after_if_late({placed, false, millis{800}, millis{8000}}, {}));
-    placement const no_queue{.unread = 500'000, .prefill_ms = 9000};
+    placement const no_queue{.prefill_tokens = 500'000, .prefill_ms = 9000};
     EXPECT_FALSE(retry_after_if_late({no_queue, true, millis{800}, millis{8000}}, {}));
 }
 
