--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -95,10 +95,9 @@
 {
     backend_server const* server = nullptr;
     bool                  prefill_only = false; // prefill here, decode at another engine
-    std::int64_t          prefill_tokens =
-        0; // tokens to prefill there, as far as caches are known
-    double                wait_ms = 0;    // until the prefill queued before it is done
-    double                prefill_ms = 0; // duration of its prefill and fetches
+    std::int64_t prefill_tokens = 0; // to prefill there, as far as caches are known
+    double       wait_ms = 0;        // until the prefill queued before it is done
+    double       prefill_ms = 0;     // duration of its prefill and fetches
     backend_server const* fetch_from =
         nullptr; // its cached parts are fetched; null: none
 };
