--- a/bench/model/quota_replay.cpp
+++ b/bench/model/quota_replay.cpp
@@ -176,7 +176,7 @@
             queries.take(answer->outcome == quota_outcome::declined
                              ? quota_reply::declined
                              : quota_reply::decided,
-                         answer->home);
+                         answer->owner);
         }
         return queries.decided() ? granted : admit_isolated(call);
     }
--- a/src/policy/quota_owner.cpp
+++ b/src/policy/quota_owner.cpp
@@ -29,7 +29,7 @@
     }
     if (!view.predecessor.empty() && view.predecessor != ask.left)
     {
-        return {.outcome = quota_outcome::declined, .home = view.predecessor};
+        return {.outcome = quota_outcome::declined, .owner = view.predecessor};
     }
     auto const bounds = shared_bounds(quota, terms_, view.share);
     auto const bucket = buckets_.try_emplace(ask.workspace, bounds, now).first;
@@ -38,7 +38,7 @@
     return {.outcome = wait ? quota_outcome::over_quota : quota_outcome::granted,
             .retry_after = wait.value_or(millis{0}),
             .left = static_cast<std::int64_t>(bucket->second.level()),
-            .home = {}};
+            .owner = {}};
 }
 
 void quota_owner::give_back(std::string const& workspace, std::int64_t units,
--- a/src/policy/quota_owner.hpp
+++ b/src/policy/quota_owner.hpp
@@ -50,7 +50,7 @@
     quota_outcome outcome = quota_outcome::declined;
     millis        retry_after{0}; // over_quota only
     std::int64_t  left = 0;       // units left in the bucket, for logs
-    std::string   home;           // declined: the owner; empty: this VM shuts down
+    std::string   owner;          // declined: the owner; empty: this VM shuts down
 
     auto operator<=>(quota_answer const&) const = default;
 };
--- a/src/serving/quota_gate.cpp
+++ b/src/serving/quota_gate.cpp
@@ -64,7 +64,7 @@
     return {.outcome = static_cast<quota_outcome>(std::min(reply.outcome(), last)),
             .retry_after = millis{reply.retry_after_ms()},
             .left = reply.left(),
-            .home = reply.home()};
+            .owner = reply.home()};
 }
 
 } // namespace
@@ -261,7 +261,7 @@
         queries.take(!reply     ? quota_reply::silent
                      : declined ? quota_reply::declined
                                 : quota_reply::decided,
-                     answer.home);
+                     answer.owner);
     }
     if (!queries.decided())
     {
@@ -361,7 +361,7 @@
     reply.set_outcome(static_cast<std::uint32_t>(answer.outcome));
     reply.set_retry_after_ms(static_cast<std::uint32_t>(answer.retry_after.count()));
     reply.set_left(answer.left);
-    reply.set_home(answer.home);
+    reply.set_home(answer.owner);
     return reply.SerializeAsString();
 }
 
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -189,7 +189,7 @@
     owner_view  view{.listed = true, .stopping = false, .predecessor = "a", .share = 1};
     auto const  answer = owner.answer({"w", 10, ""}, small_quota, view, at_ms(0));
     EXPECT_EQ(answer.outcome, quota_outcome::declined);
-    EXPECT_EQ(answer.home, "a");
+    EXPECT_EQ(answer.owner, "a");
     auto const left = owner.answer({"w", 10, "a"}, small_quota, view, at_ms(0));
     EXPECT_EQ(left.outcome, quota_outcome::granted); // "a" replied that it stops
 }
@@ -200,7 +200,7 @@
     owner_view  view{.listed = true, .stopping = true, .predecessor = {}, .share = 1};
     auto const  answer = owner.answer({"w", 10, ""}, small_quota, view, at_ms(0));
     EXPECT_EQ(answer.outcome, quota_outcome::declined);
-    EXPECT_TRUE(answer.home.empty());
+    EXPECT_TRUE(answer.owner.empty());
 }
 
 // 4. Sequence of queries
