--- a/src/policy/prefill_model.hpp
+++ b/src/policy/prefill_model.hpp
@@ -63,7 +63,7 @@
     }
 
     /// Adjusts the estimates by one prefill.
-    void read(prefill_sample const& sample)
+    void record_prefill(prefill_sample const& sample)
     {
         if (sample.tokens <= 0 || sample.wait_ms > options_.max_wait_ms)
         {
--- a/src/policy/work_meter.hpp
+++ b/src/policy/work_meter.hpp
@@ -62,7 +62,7 @@
     /// Records a prefill at a prefill engine.
     void prefill_done(prefill_sample const& sample)
     {
-        prefill_.read(sample);
+        prefill_.record_prefill(sample);
     }
 
     /// Records a handoff: a call whose prompt another engine had prefilled gave its first
@@ -76,7 +76,7 @@
     /// running its streams, and has returned the first event.
     void colocated_prefill_done(prefill_sample const& sample)
     {
-        colocated_.read(sample);
+        colocated_.record_prefill(sample);
     }
 
     /// Prefill at engines that do nothing else.
--- a/tests/property/prefill_model_property_test.cpp
+++ b/tests/property/prefill_model_property_test.cpp
@@ -35,7 +35,8 @@
     std::lognormal_distribution<double> tokens(7.8, 1.1);
     for (int count = 0; count < reads; ++count)
     {
-        model.read(engine.read(1 + static_cast<std::int64_t>(tokens(random)), random));
+        model.record_prefill(
+            engine.read(1 + static_cast<std::int64_t>(tokens(random)), random));
     }
 }
 
@@ -74,7 +75,8 @@
     for (int read = 0; read < count; ++read)
     {
         auto const ms = *rc::gen::inRange(-1000, 10'000'000);
-        model.read({.tokens = *rc::gen::inRange(-5, 2'000'000), .took = millis{ms}});
+        model.record_prefill(
+            {.tokens = *rc::gen::inRange(-5, 2'000'000), .took = millis{ms}});
         model.handoff_done(millis{ms});
     }
     RC_ASSERT(model.speed() >= bounds.min_speed * 0.999);
@@ -106,7 +108,8 @@
     auto const before = model.speed();
     for (int read = 0; read < 500; ++read)
     {
-        model.read({.tokens = 6000, .wait_ms = 800, .took = std::chrono::seconds{3}});
+        model.record_prefill(
+            {.tokens = 6000, .wait_ms = 800, .took = std::chrono::seconds{3}});
     }
     EXPECT_EQ(model.speed(), before);
 }
