--- a/src/policy/crash_watch.cpp
+++ b/src/policy/crash_watch.cpp
@@ -57,7 +57,7 @@
                   { return entry.second.content == content && !entry.second.cleared; });
 }
 
-void crash_watch::answered(std::string const& content, boot_clock::time_point now)
+void crash_watch::record_response(std::string const& content, boot_clock::time_point now)
 {
     if (poison_.evaluate(content, now) != poison_verdict::suspect)
     {
--- a/src/policy/crash_watch.hpp
+++ b/src/policy/crash_watch.hpp
@@ -58,7 +58,7 @@
     bool record_crash(crash_update const& crash, boot_clock::time_point now);
 
     /// Records a complete response to a call with this content.
-    void answered(std::string const& content, boot_clock::time_point now);
+    void record_response(std::string const& content, boot_clock::time_point now);
 
     /// Merges an update of another VM.
     void merge(crash_update const& updates, boot_clock::time_point now);
--- a/src/serving/call_runner.hpp
+++ b/src/serving/call_runner.hpp
@@ -183,7 +183,7 @@
         if (status < first_server_error)
         {
             state_.health.succeeded(link.server().id);
-            state_.crashes.answered(admitted_.content, boot_clock::now());
+            state_.crashes.record_response(admitted_.content, boot_clock::now());
             co_await send_response(std::move(bytes), status);
             co_return true;
         }
@@ -425,7 +425,7 @@
     {
         auto const now = boot_clock::now();
         state_.health.succeeded(link.server().id);
-        state_.crashes.answered(admitted_.content, now);
+        state_.crashes.record_response(admitted_.content, now);
         placement_.record_stream(stream_.chunk_count(), now - timing_.first(),
                                  timing_.longest_pause());
         state_.counters.observe("longest_pause_seconds", timing_.longest_pause());
--- a/tests/unit/crash_watch_test.cpp
+++ b/tests/unit/crash_watch_test.cpp
@@ -75,7 +75,7 @@
         auto const call = std::to_string(round);
         EXPECT_TRUE(one.record_crash(crash("s1", call), at(begin)));
         deliver(one, other, begin + 150);
-        one.answered("c", at(begin + 200));
+        one.record_response("c", at(begin + 200));
         for (int ms = begin + 300; ms < begin + 3000; ms += 150)
         {
             deliver(one, other, ms);
