--- a/src/ledger/usage_windows.cpp
+++ b/src/ledger/usage_windows.cpp
@@ -137,7 +137,7 @@
     merge(windows_[record.window].logged, record);
 }
 
-void usage_sum::hear(usage_record const& record)
+void usage_sum::receive(usage_record const& record)
 {
     merge(windows_[record.window].received, record);
 }
--- a/src/ledger/usage_windows.hpp
+++ b/src/ledger/usage_windows.hpp
@@ -87,7 +87,7 @@
     /// Merges counts that another VM sent in a digest. Without them the counts of a VM
     /// that is killed or can't reach the store would be lost, and its windows billed too
     /// low.
-    void hear(usage_record const& record);
+    void receive(usage_record const& record);
 
     /// The sum over all VMs so far, by workspace.
     usage_counts of(std::int64_t window) const;
--- a/src/policy/prefix_directory.cpp
+++ b/src/policy/prefix_directory.cpp
@@ -50,8 +50,8 @@
     }
 }
 
-void prefix_directory::hear(prefix_update const& update, update_source source,
-                            boot_clock::time_point now)
+void prefix_directory::receive(prefix_update const& update, update_source source,
+                               boot_clock::time_point now)
 {
     for (auto const part : update.parts)
     {
--- a/src/policy/prefix_directory.hpp
+++ b/src/policy/prefix_directory.hpp
@@ -77,8 +77,8 @@
 
     /// Receives an update from another VM about its own attempts or, if it is a relay,
     /// about those that it received.
-    void hear(prefix_update const& update, update_source source,
-              boot_clock::time_point now);
+    void receive(prefix_update const& update, update_source source,
+                 boot_clock::time_point now);
 
     /// Drops all parts of an engine whose cache is empty after a restart or a change of
     /// role.
--- a/src/policy/server_health.hpp
+++ b/src/policy/server_health.hpp
@@ -77,8 +77,8 @@
     }
 
     /// Merges another VM's update: that VM avoids the server for `left`.
-    void hear(std::string const& server, millis left, update_source source,
-              boot_clock::time_point now)
+    void receive(std::string const& server, millis left, update_source source,
+                 boot_clock::time_point now)
     {
         auto const until = now + std::clamp(left, millis{0}, options_.longest_pause);
         pause(server, until);
--- a/src/serving/peer_exchange.cpp
+++ b/src/serving/peer_exchange.cpp
@@ -134,16 +134,16 @@
     {
         if (state_.settings.share_server_losses)
         {
-            state_.health.hear(server, left, source, now);
+            state_.health.receive(server, left, source, now);
         }
     }
     for (auto const& each : extras.prefixes)
     {
-        state_.prefixes.hear(each, source, now);
+        state_.prefixes.receive(each, source, now);
     }
     for (auto const& each : extras.usage)
     {
-        state_.usage_known.hear(each);
+        state_.usage_known.receive(each);
     }
 }
 
--- a/tests/property/duty_log_property_test.cpp
+++ b/tests/property/duty_log_property_test.cpp
@@ -327,14 +327,14 @@
             published[*rc::gen::inRange<std::size_t>(0, published.size())];
         if (*rc::gen::arbitrary<bool>())
         {
-            sum.hear(record);
+            sum.receive(record);
         }
         else
         {
             sum.apply(record);
         }
     }
-    sum.hear(published.back());
+    sum.receive(published.back());
     RC_ASSERT(sum.of(1).at("w") == calls);
     for (auto const& record : sum.unlogged_before(2))
     {
@@ -354,10 +354,10 @@
     {
         sum.apply({writer, 1, {}, {}});
     }
-    sum.hear({"a/100", 2, {{"w", 3}}, {}});
+    sum.receive({"a/100", 2, {{"w", 3}}, {}});
     sum.apply({"b/100", 2, {{"w", 4}}, {}});
     EXPECT_FALSE(sum.complete(2));
-    sum.hear({"a/200", 3, {}, {}});
+    sum.receive({"a/200", 3, {}, {}});
     EXPECT_TRUE(sum.complete(2));
     EXPECT_EQ(sum.of(2).at("w"), 7);
 }
@@ -368,9 +368,9 @@
 {
     usage_sum sum;
     sum.apply({"a/100", 1, {}, {}});
-    sum.hear({"a/100", 2, {{"w", 3}}, {}});
+    sum.receive({"a/100", 2, {{"w", 3}}, {}});
     EXPECT_FALSE(sum.complete(2));
-    sum.hear({"a/100", 3, {}, {}});
+    sum.receive({"a/100", 3, {}, {}});
     EXPECT_TRUE(sum.complete(2));
 }
 
--- a/tests/unit/prefix_directory_test.cpp
+++ b/tests/unit/prefix_directory_test.cpp
@@ -70,7 +70,7 @@
     auto const updates = sender.take_updates()[update_source::own];
     ASSERT_EQ(updates.size(), 1U);
     EXPECT_EQ(updates.front().parts.size(), 1U);
-    receiver.hear(updates.front(), update_source::centre, at(100));
+    receiver.receive(updates.front(), update_source::centre, at(100));
     EXPECT_EQ(receiver.cached(call, at(101)).at("e").ready, 0); // still in prefill
     EXPECT_EQ(receiver.cached(call, at(600)), only("e", 100));
     EXPECT_TRUE(sender.take_updates().empty());
@@ -83,14 +83,14 @@
 TEST(prefix_directory, received_updates_are_published_once_and_by_source)
 {
     prefix_directory relay;
-    relay.hear({"e", {1, 2}}, update_source::centre, at(0));
-    relay.hear({"f", {3}}, update_source::others, at(0));
+    relay.receive({"e", {1, 2}}, update_source::centre, at(0));
+    relay.receive({"f", {3}}, update_source::others, at(0));
     auto const published = relay.take_updates();
     EXPECT_EQ(published.at(update_source::centre),
               (std::vector<prefix_update>{{"e", {1, 2}}}));
     EXPECT_EQ(published.at(update_source::others),
               (std::vector<prefix_update>{{"f", {3}}}));
-    relay.hear({"e", {1, 2}}, update_source::others, at(150));
+    relay.receive({"e", {1, 2}}, update_source::others, at(150));
     EXPECT_TRUE(relay.take_updates().empty());
 }
 
--- a/tests/unit/server_health_updates_test.cpp
+++ b/tests/unit/server_health_updates_test.cpp
@@ -49,7 +49,7 @@
 TEST(server_health_updates, updates_from_other_data_centres_are_not_sent_back)
 {
     server_health relay;
-    relay.hear("e", millis{400}, update_source::others, at(0));
+    relay.receive("e", millis{400}, update_source::others, at(0));
     EXPECT_TRUE(relay.avoided("e", at(1)));
     EXPECT_TRUE(relay.updates(update_source::own, at(1)).empty());
     EXPECT_TRUE(relay.updates(update_source::centre, at(1)).empty());
@@ -60,7 +60,7 @@
 TEST(server_health_updates, an_own_success_overrides_received_updates)
 {
     server_health health;
-    health.hear("e", millis{4000}, update_source::centre, at(0));
+    health.receive("e", millis{4000}, update_source::centre, at(0));
     health.succeeded("e");
     EXPECT_FALSE(health.avoided("e", at(1)));
 }
@@ -68,7 +68,7 @@
 TEST(server_health_updates, received_pauses_are_capped_at_the_longest_pause)
 {
     server_health health;
-    health.hear("e", std::chrono::hours{5}, update_source::centre, at(0));
+    health.receive("e", std::chrono::hours{5}, update_source::centre, at(0));
     EXPECT_TRUE(health.avoided("e", at(3999)));
     EXPECT_FALSE(health.avoided("e", at(4001)));
 }
