--- a/bench/model/fleet_model.cpp
+++ b/bench/model/fleet_model.cpp
@@ -101,12 +101,12 @@
 spending_input fleet_model::spending_limits() const
 {
     spending_input input;
-    input.most.resize(data_centres_);
+    input.max_servers.resize(data_centres_);
     input.have.resize(data_centres_);
     input.reachable.assign(data_centres_, true);
     for (auto const& server : servers)
     {
-        auto& most = input.most[server.location.data_centre];
+        auto& most = input.max_servers[server.location.data_centre];
         if (server.state != server_state::gone)
         {
             ++(server.location.cheap ? most.cheap : most.full_price);
--- a/src/policy/spending_plan.cpp
+++ b/src/policy/spending_plan.cpp
@@ -56,15 +56,16 @@
 totals totals_of(spending_input const& input)
 {
     totals sum;
-    for (std::size_t data_centre = 0; data_centre < input.most.size(); ++data_centre)
+    for (std::size_t data_centre = 0; data_centre < input.max_servers.size();
+         ++data_centre)
     {
         if (input.reachable[data_centre])
         {
             ++sum.data_centres;
-            sum.full_price_max += input.most[data_centre].full_price;
-            sum.cheap_max += input.most[data_centre].cheap;
+            sum.full_price_max += input.max_servers[data_centre].full_price;
+            sum.cheap_max += input.max_servers[data_centre].cheap;
             sum.full_price_min +=
-                std::min(input.least, input.most[data_centre].full_price);
+                std::min(input.min_servers, input.max_servers[data_centre].full_price);
         }
     }
     return sum;
@@ -72,7 +73,7 @@
 
 std::int64_t cheap_limit(spending_input const& input, std::size_t data_centre)
 {
-    return input.reachable[data_centre] ? input.most[data_centre].cheap : 0;
+    return input.reachable[data_centre] ? input.max_servers[data_centre].cheap : 0;
 }
 
 /// Cheap servers of the data centre that gets the most of `cheap`. This is more than an
@@ -81,7 +82,7 @@
 {
     std::int64_t most = 0;
     spread(
-        input.most.size(), cheap,
+        input.max_servers.size(), cheap,
         [&](std::size_t data_centre) { return cheap_limit(input, data_centre); },
         [&](std::size_t, std::int64_t count) { most = std::max(most, count); });
     return most;
@@ -100,7 +101,7 @@
 spending_plan plan_spending(spending_input const& input, spending_options const& options)
 {
     spending_plan plan;
-    plan.wanted.resize(input.most.size());
+    plan.wanted.resize(input.max_servers.size());
     plan.servers_for_load = servers_for(input.need_milli, options.fill_percent);
     plan.servers_after_loss = servers_for(input.need_milli, options.loss_percent);
     auto const   sum = totals_of(input);
@@ -130,8 +131,9 @@
     };
     spread(
         plan.wanted.size(), best.full_price,
-        [&](std::size_t data_centre)
-        { return reachable(data_centre) ? input.most[data_centre].full_price : 0; },
+        [&](std::size_t data_centre) {
+            return reachable(data_centre) ? input.max_servers[data_centre].full_price : 0;
+        },
         [&](std::size_t data_centre, std::int64_t count)
         { plan.wanted[data_centre].full_price = count; });
     spread(
--- a/src/policy/spending_plan.hpp
+++ b/src/policy/spending_plan.hpp
@@ -27,11 +27,11 @@
 /// Input of the plan. The vectors have one element per data centre.
 struct spending_input
 {
-    std::int64_t need_milli = 0;         // engines that the demand keeps busy, 1000ths
-    std::vector<server_count> most;      // most servers that may be ordered
-    std::vector<server_count> have;      // present servers
-    std::vector<bool>         reachable; // whether orders can be given there
-    std::int64_t              least = 1; // 1  full-price servers per data centre
+    std::int64_t need_milli = 0;           // engines that the demand keeps busy, 1000ths
+    std::vector<server_count> max_servers; // most servers that may be ordered
+    std::vector<server_count> have;        // present servers
+    std::vector<bool>         reachable;   // whether orders can be given there
+    std::int64_t              min_servers = 1; // 1  full-price servers per data centre
 
     bool operator==(spending_input const&) const = default;
 };
--- a/src/policy/wanted_state.cpp
+++ b/src/policy/wanted_state.cpp
@@ -109,15 +109,16 @@
         cheap += buying && wanted.cheap ? 1 : 0;
         dismissing = dismissing || wanted.kind == order_kind::dismiss;
     }
-    if (count < plan.least)
+    if (count < plan.min_servers)
     {
-        bool const may_be_cheap = cheap < plan.least * plan.cheap_percent / all_percent;
+        bool const may_be_cheap =
+            cheap < plan.min_servers * plan.cheap_percent / all_percent;
         return order{.kind = order_kind::buy,
                      .group = plan.group,
                      .data_centre = plan.data_centre,
                      .cheap = may_be_cheap};
     }
-    if (count > plan.most && open.empty() && !dismissing && last_live)
+    if (count > plan.max_servers && open.empty() && !dismissing && last_live)
     {
         return order{.kind = order_kind::dismiss,
                      .server = *last_live,
--- a/src/policy/wanted_state.hpp
+++ b/src/policy/wanted_state.hpp
@@ -44,9 +44,9 @@
 {
     std::string  group;
     std::string  data_centre;
-    std::int64_t least = 1;
-    std::int64_t most = 64;
-    std::int64_t cheap_percent = 0; // part of `least` that may be cheap, %
+    std::int64_t min_servers = 1;
+    std::int64_t max_servers = 64;
+    std::int64_t cheap_percent = 0; // part of `min_servers` that may be cheap, %
 
     bool operator==(vm_plan const&) const = default;
 };
--- a/tests/property/order_property_test.cpp
+++ b/tests/property/order_property_test.cpp
@@ -158,8 +158,10 @@
 public:
     purchases(std::int64_t least, std::int64_t lag) : lag_(lag)
     {
-        plan_ = {
-            .group = "wording", .data_centre = "dc-1", .least = least, .most = least};
+        plan_ = {.group = "wording",
+                 .data_centre = "dc-1",
+                 .min_servers = least,
+                 .max_servers = least};
     }
 
     /// One step of the orderer. What it sends has the result `fate` and takes effect
--- a/tests/property/policy_property_test.cpp
+++ b/tests/property/policy_property_test.cpp
@@ -193,7 +193,7 @@
     input.need_milli = *rc::gen::inRange(0, 12'000);
     for (int zone = 0; zone < 3; ++zone)
     {
-        input.most.push_back({*rc::gen::inRange(0, 8), *rc::gen::inRange(0, 8)});
+        input.max_servers.push_back({*rc::gen::inRange(0, 8), *rc::gen::inRange(0, 8)});
     }
     input.reachable = {true, true, *rc::gen::arbitrary<bool>()};
     spending_options const options;
@@ -201,8 +201,8 @@
     std::int64_t           all = 0;
     for (std::size_t zone = 0; zone < 3; ++zone)
     {
-        RC_ASSERT(plan.wanted[zone].full_price <= input.most[zone].full_price);
-        RC_ASSERT(plan.wanted[zone].cheap <= input.most[zone].cheap);
+        RC_ASSERT(plan.wanted[zone].full_price <= input.max_servers[zone].full_price);
+        RC_ASSERT(plan.wanted[zone].cheap <= input.max_servers[zone].cheap);
         RC_ASSERT(input.reachable[zone] || plan.wanted[zone] == server_count{});
         all += plan.wanted[zone].full_price + plan.wanted[zone].cheap;
     }
