--- a/tests/property/policy_property_test.cpp
+++ b/tests/property/policy_property_test.cpp
@@ -185,9 +185,9 @@
 
 // 3. Spending
 
-// All cheap servers of a zone are lost: the remaining servers must carry the load at a
-// higher utilization.
-RC_GTEST_PROP(plan_spending, survives_the_loss_of_any_cheap_zone, ())
+// All cheap servers of a data centre are lost: the remaining servers must carry the load
+// at a higher utilization.
+RC_GTEST_PROP(plan_spending, survives_the_loss_of_any_data_centres_cheap_servers, ())
 {
     spending_input input;
     input.need_milli = *rc::gen::inRange(0, 12'000);
--- a/tests/unit/mass_loss_test.cpp
+++ b/tests/unit/mass_loss_test.cpp
@@ -16,8 +16,8 @@
     return boot_clock::time_point{millis{ms}};
 }
 
-// The platform reclaims a zone of cheap servers. If the contents in flight on them stayed
-// suspects, each would wait for a server of its own until past its deadline.
+// The platform reclaims the cheap servers of a data centre. If the contents in flight on
+// them stayed suspects, each would wait for a server of its own until past its deadline.
 TEST(mass_loss, excuses_contents_in_flight_on_one_of_several_servers)
 {
     mass_loss losses(millis{2000});
